--- a/pkg/gather/choose.go
+++ b/pkg/gather/choose.go
@@ -7,211 +7,211 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// Next gives a call to be made now; false if there is nothing to do.
-func (bk *Book) Next(now clock.Milli) (Batch, bool) {
-	if len(bk.waiting) == 0 || bk.Space(now) > 0 {
+// Next returns a batch to send now, or false if none is due.
+func (sch *Book) Next(now clock.Milli) (Batch, bool) {
+	if len(sch.waiting) == 0 || sch.Space(now) > 0 {
 		return Batch{}, false
 	}
-	bk.forget(now)
-	open := bk.open(now)
+	sch.expire(now)
+	open := sch.available(now)
 	if len(open) == 0 {
 		return Batch{}, false
 	}
-	bk.sort(now)
+	sch.sortWaiting(now)
 	for len(open) > 0 {
-		mkr := bk.choose(open, now)
-		if mkr == nil {
+		ep := sch.chooseEndpoint(open, now)
+		if ep == nil {
 			return Batch{}, false
 		}
-		if bat, ok := bk.fill(mkr, now); ok {
+		if bat, ok := sch.fill(ep, now); ok {
 			return bat, true
 		}
-		open = slices.DeleteFunc(open, func(oth *maker) bool { return oth == mkr })
+		open = slices.DeleteFunc(open, func(oth *endpoint) bool { return oth == ep })
 	}
 	return Batch{}, false
 }
 
-// waitsFor tells whether a piece is still waiting for an endpoint of another data
-// centre than this one.
-func (bk *Book) waitsFor(pc Piece, mkr *maker, now clock.Milli) bool {
-	if pc.Zone == "" || pc.Zone == mkr.Zone || now >= pc.NearUntil {
+// reservedElsewhere reports whether an item is still reserved for an endpoint in its preferred data
+// centre, which is not that of ep.
+func (sch *Book) reservedElsewhere(itm Piece, ep *endpoint, now clock.Milli) bool {
+	if itm.Zone == "" || itm.Zone == ep.Zone || now >= itm.NearUntil {
 		return false
 	}
-	for _, oth := range bk.makers {
-		if oth.Zone == pc.Zone && !oth.Leaving && now >= oth.closed && oth.slowness(now) <= slowFrom {
+	for _, oth := range sch.endpoints {
+		if oth.Zone == itm.Zone && !oth.Leaving && now >= oth.blockedUntil && oth.slowness(now) <= slowThreshold {
 			return true
 		}
 	}
 	return false
 }
 
-// forget drops results that their makers hold no longer.
-func (bk *Book) forget(now clock.Milli) {
-	for handle, res := range bk.results {
+// expire drops results past their TTL and estimates of foreign results past theirs.
+func (sch *Book) expire(now clock.Milli) {
+	for handle, res := range sch.results {
 		if now > res.until {
-			res.maker.held -= res.bytes
-			delete(bk.results, handle)
+			res.endpoint.heldBytes -= res.bytes
+			delete(sch.results, handle)
 		}
 	}
-	for _, mkr := range bk.makers {
-		if now >= mkr.othersUntil {
-			mkr.others = 0
+	for _, ep := range sch.endpoints {
+		if now >= ep.foreignUntil {
+			ep.foreignBytes = 0
 		}
 	}
 }
 
-// open lists the endpoints with a free place. A slow one is left out while the well ones
-// would have made the piece sooner, with all that waits before it. Compared with the next
-// free place alone, whichever of a large pool's, slow endpoints stood idle beside a long
-// queue.
-func (bk *Book) open(now clock.Milli) []*maker {
-	var free []*maker
+// available returns the endpoints with a free slot. A slow endpoint is left out if the others would
+// complete the item sooner, including the time to start the queued items. Comparing it only with
+// the next free slot of a large pool left slow endpoints idle beside a long queue.
+func (sch *Book) available(now clock.Milli) []*endpoint {
+	var free []*endpoint
 	soonest := clock.Milli(-1)
-	for _, mkr := range bk.makers {
-		if mkr.Leaving || now < mkr.closed || now < mkr.full || now < mkr.later {
+	for _, ep := range sch.endpoints {
+		if ep.Leaving || now < ep.blockedUntil || now < ep.fullUntil || now < ep.pausedUntil {
 			continue
 		}
-		done := bk.left(mkr, now) + clock.Milli(mkr.slowness(now)*float64(bk.spec.Time(1)))
+		done := sch.untilFree(ep, now) + clock.Milli(ep.slowness(now)*float64(sch.spec.Time(1)))
 		if soonest < 0 || done < soonest {
 			soonest = done
 		}
-		if mkr.calls < max(bk.spec.Places, 1) {
-			free = append(free, mkr)
+		if ep.batches < max(sch.spec.Places, 1) {
+			free = append(free, ep)
 		}
 	}
-	queued := bk.queued(now)
-	return slices.DeleteFunc(free, func(mkr *maker) bool {
-		return mkr.slowness(now) > slowFrom && clock.Milli(mkr.slowness(now)*float64(bk.spec.Time(1))) > soonest+queued
+	queued := sch.backlogTime(now)
+	return slices.DeleteFunc(free, func(ep *endpoint) bool {
+		return ep.slowness(now) > slowThreshold && clock.Milli(ep.slowness(now)*float64(sch.spec.Time(1))) > soonest+queued
 	})
 }
 
-// queued gives the time in which the pool begins what waits beyond one call.
-func (bk *Book) queued(now clock.Milli) clock.Milli {
-	beyond := len(bk.waiting) - bk.spec.Most
-	rate, _ := bk.rate(now)
+// backlogTime returns the time the pool takes to start the items that exceed one batch.
+func (sch *Book) backlogTime(now clock.Milli) clock.Milli {
+	beyond := len(sch.waiting) - sch.spec.Most
+	rate, _ := sch.effectiveSlots(now)
 	if beyond <= 0 || rate == 0 {
 		return 0
 	}
-	return clock.Milli(float64(beyond) * bk.each(rate))
+	return clock.Milli(float64(beyond) * sch.plannedInterval(rate))
 }
 
-// sort puts the waiting pieces in their order: the rests of jobs, then those that can
-// still be in time, then the others; among each the earliest due first.
+// sortWaiting orders the waiting items: remaining items of jobs that have begun, then items that
+// can still be on time, then late items; within each class by due time.
 //
-// Rests go first even if they are late. The results of a job that was begun can't be
-// used, nor given back, before the last of its pieces is made. Behind all others the
-// rests of late jobs waited until their time was up, while what had been made of them
-// took the room that the others waited for: the pool stood still with its endpoints idle.
-func (bk *Book) sort(now clock.Milli) {
-	slices.SortStableFunc(bk.waiting, func(x, y Piece) int {
-		if turnX, turnY := bk.turn(x, now), bk.turn(y, now); turnX != turnY {
-			return cmp.Compare(turnX, turnY)
+// Remaining items go first even if they are late. The results of a job that has begun can be
+// neither used nor released before its last item is complete. When they were sorted behind all
+// others, they waited until they expired while the results of the job occupied the storage that the
+// others needed: the pool stalled with its endpoints idle.
+func (sch *Book) sortWaiting(now clock.Milli) {
+	slices.SortStableFunc(sch.waiting, func(x, y Piece) int {
+		if classX, classY := sch.class(x, now), sch.class(y, now); classX != classY {
+			return cmp.Compare(classX, classY)
 		}
-		return cmp.Compare(x.Due+clock.Milli(x.Rank)*rankStep, y.Due+clock.Milli(y.Rank)*rankStep)
+		return cmp.Compare(x.Due+clock.Milli(x.Rank)*priorityStep, y.Due+clock.Milli(y.Rank)*priorityStep)
 	})
 }
 
-// turn is which of the pieces go before which, whenever they are due.
-type turn int
+// class is the primary sort key of waiting items; the due time is the secondary one.
+type class int
 
 const (
-	restTurn turn = iota
-	timelyTurn
-	lateTurn
+	begunClass class = iota
+	onTimeClass
+	lateClass
 )
 
-func (bk *Book) turn(pc Piece, now clock.Milli) turn {
+func (sch *Book) class(itm Piece, now clock.Milli) class {
 	switch {
-	case pc.Rest:
-		return restTurn
-	case now+bk.spec.Time(1) <= pc.Due:
-		return timelyTurn
+	case itm.Rest:
+		return begunClass
+	case now+sch.spec.Time(1) <= itm.Due:
+		return onTimeClass
 	}
-	return lateTurn
+	return lateClass
 }
 
-// choose takes, of the open endpoints, the one whose data centre most of the next
-// call wants, among those that any of the most urgent pieces may go to now.
-func (bk *Book) choose(open []*maker, now clock.Milli) *maker {
-	next := bk.ahead()
-	var best *maker
+// chooseEndpoint returns the available endpoint whose data centre most of the urgent items prefer,
+// among those that can accept at least one of them now.
+func (sch *Book) chooseEndpoint(open []*endpoint, now clock.Milli) *endpoint {
+	next := sch.mostUrgent()
+	var best *endpoint
 	bestFor := -1
-	for _, mkr := range open {
+	for _, ep := range open {
 		wanted, able := 0, false
-		for _, pc := range next {
-			if bk.waitsFor(pc, mkr, now) || !bk.fits(mkr, 0, pc) {
+		for _, itm := range next {
+			if sch.reservedElsewhere(itm, ep, now) || !sch.fits(ep, 0, itm) {
 				continue
 			}
 			able = true
-			if pc.Zone == mkr.Zone {
+			if itm.Zone == ep.Zone {
 				wanted++
 			}
 		}
 		if !able {
 			continue
 		}
-		if wanted > bestFor || wanted == bestFor && better(mkr, best, now) {
-			best, bestFor = mkr, wanted
+		if wanted > bestFor || wanted == bestFor && better(ep, best, now) {
+			best, bestFor = ep, wanted
 		}
 	}
 	return best
 }
 
-// better tells which of two endpoints that are wanted alike is taken.
-func better(mkr, than *maker, now clock.Milli) bool {
-	if mkr.slowness(now) != than.slowness(now) {
-		return mkr.slowness(now) < than.slowness(now)
+// better reports whether ep is preferred to than when equally many items prefer their data centres:
+// the less slow one first, then the one with fewer stored results.
+func better(ep, than *endpoint, now clock.Milli) bool {
+	if ep.slowness(now) != than.slowness(now) {
+		return ep.slowness(now) < than.slowness(now)
 	}
-	return mkr.held+mkr.others < than.held+than.others
+	return ep.heldBytes+ep.foreignBytes < than.heldBytes+than.foreignBytes
 }
 
-func (bk *Book) fits(mkr *maker, taken int64, pc Piece) bool {
-	return bk.spec.Room == 0 || mkr.held+mkr.others+taken+pc.Bytes <= bk.spec.Room
+func (sch *Book) fits(ep *endpoint, taken int64, itm Piece) bool {
+	return sch.spec.Room == 0 || ep.heldBytes+ep.foreignBytes+taken+itm.Bytes <= sch.spec.Room
 }
 
-// ahead gives the most urgent of the sorted pieces that wait, up to the end of a job.
-func (bk *Book) ahead() []Piece {
-	n := min(len(bk.waiting), lookAhead*bk.spec.Most)
-	for n > 0 && n < len(bk.waiting) && bk.waiting[n].Job == bk.waiting[n-1].Job {
+// mostUrgent returns the head of the sorted queue, extended to the end of a job.
+func (sch *Book) mostUrgent() []Piece {
+	n := min(len(sch.waiting), lookAheadBatches*sch.spec.Most)
+	for n > 0 && n < len(sch.waiting) && sch.waiting[n].Job == sch.waiting[n-1].Job {
 		n++
 	}
-	return bk.waiting[:n]
+	return sch.waiting[:n]
 }
 
-// markRests marks what waits of jobs that a call has begun.
-func (bk *Book) markRests(pieces []Piece) {
-	begun := make(map[int64]bool, len(pieces))
-	for _, pc := range pieces {
-		begun[pc.Job] = true
+// markBegunJobs marks the waiting items of jobs of which a batch has just taken items.
+func (sch *Book) markBegunJobs(items []Piece) {
+	begun := make(map[int64]bool, len(items))
+	for _, itm := range items {
+		begun[itm.Job] = true
 	}
-	for i := range bk.waiting {
-		bk.waiting[i].Rest = bk.waiting[i].Rest || begun[bk.waiting[i].Job]
+	for i := range sch.waiting {
+		sch.waiting[i].Rest = sch.waiting[i].Rest || begun[sch.waiting[i].Job]
 	}
 }
 
-// begin notes a call as begun.
-func (bk *Book) begin(mkr *maker, cl filling, now clock.Milli) (Batch, bool) {
-	bat := Batch{Maker: mkr.Maker, Pieces: cl.pieces}
-	taken, bytes := cl.taken, cl.bytes
+// startBatch records a batch as started and removes its items from the queue.
+func (sch *Book) startBatch(ep *endpoint, bld builder, now clock.Milli) (Batch, bool) {
+	bat := Batch{Maker: ep.Maker, Pieces: bld.items}
+	taken, bytes := bld.taken, bld.bytes
 	if len(bat.Pieces) == 0 {
 		return Batch{}, false
 	}
-	if len(bk.waiting) >= bk.spec.Most {
-		bk.filled = bk.fullness() + fillShare*(float64(len(bat.Pieces))-bk.fullness())
-	}
-	bk.waiting = slices.DeleteFunc(bk.waiting, func(pc Piece) bool { return taken[pc.ID] })
-	bk.markRests(cl.pieces)
-	bk.pace.note(len(bat.Pieces), len(bk.waiting) >= bk.spec.Most, now)
-	bk.next++
-	bat.ID = bk.next
-	expect := clock.Milli(mkr.slowness(now) * float64(bk.spec.Time(len(bat.Pieces))))
-	bat.GiveUp = clock.Milli(hangFactor*float64(max(expect, bk.spec.Time(bk.spec.Most)))) + hangMargin
-	if bk.calls == nil {
-		bk.calls = map[int64]*call{}
-	}
-	bk.calls[bat.ID] = &call{maker: mkr, count: len(bat.Pieces), bytes: bytes, began: now, expect: expect}
-	mkr.calls++
-	mkr.held += bytes
-	bk.spacing.note(bk.spec.Time(len(bat.Pieces)), now)
+	if len(sch.waiting) >= sch.spec.Most {
+		sch.meanFill = sch.expectedFill() + fillWeight*(float64(len(bat.Pieces))-sch.expectedFill())
+	}
+	sch.waiting = slices.DeleteFunc(sch.waiting, func(itm Piece) bool { return taken[itm.ID] })
+	sch.markBegunJobs(bld.items)
+	sch.throughput.observe(len(bat.Pieces), len(sch.waiting) >= sch.spec.Most, now)
+	sch.lastID++
+	bat.ID = sch.lastID
+	expect := clock.Milli(ep.slowness(now) * float64(sch.spec.Time(len(bat.Pieces))))
+	bat.GiveUp = clock.Milli(timeoutFactor*float64(max(expect, sch.spec.Time(sch.spec.Most)))) + timeoutMargin
+	if sch.batches == nil {
+		sch.batches = map[int64]*openBatch{}
+	}
+	sch.batches[bat.ID] = &openBatch{endpoint: ep, count: len(bat.Pieces), bytes: bytes, began: now, expect: expect}
+	ep.batches++
+	ep.heldBytes += bytes
+	sch.spacing.observe(sch.spec.Time(len(bat.Pieces)), now)
 	return bat, true
 }
--- a/pkg/gather/doc.go
+++ b/pkg/gather/doc.go
@@ -1,38 +1,36 @@
-// Package gather decides which pieces of stages go to which endpoint together.
+// Package gather schedules batches: it decides which items of stages go together to which endpoint.
 //
 // # Concepts
 //
-// An endpoint of a stage's pool works on a call of up to so many pieces, from any
-// requests, and a call costs a fixed time whatever it holds: eight pieces in one
-// call are made in less than half the time of eight calls. A single instance sees
-// too few requests to fill calls, so one instance gathers a pool's pieces for all
-// of them. A [Book] is what this instance knows: the pieces that wait, the
-// endpoints with their calls, and the results that still take room.
+// An endpoint of a stage's pool processes items, from any requests, in batches of bounded size. A
+// batch has a fixed cost: eight items in one batch take less than half the time of eight batches. A
+// single instance sees too few requests to fill batches, so one instance schedules the items of a
+// pool for all instances. A [Book] is the state of this scheduler: the waiting items, the endpoints
+// with their batches, and the results that still occupy storage.
 //
 // # Order
 //
-// A piece waits here and not at an endpoint, because here it can still be
-// overtaken or withdrawn; the choice is made at the moment when a place comes
-// free. Pieces that can still be in time go first, by the instant at which they
-// are due; those that can't be any more go after them. Without that second class
-// an overload makes everybody a little late: the one most overdue would always go
-// first, and its answer is worth a fraction whenever it comes.
+// Items wait here and not at an endpoint, because here they can still be overtaken or withdrawn;
+// the batch is composed at the moment a slot becomes free. Items that can still be on time go
+// first, by due time; late ones follow. With due time as the only key, an overload makes every
+// request a little late: the most overdue item would always go first, although its answer has
+// already lost most of its value.
 //
-// Calls of a pool begin at even distances: see [Book.Space].
+// Batches of a pool start at even intervals: see [Book.Space].
 //
-// # Place and room
+// # Locality and result storage
 //
-// A result stays at its maker until it is given back, and whoever takes it fetches
-// it from there. So a piece with a large result names the data centre where it
-// will be used, and among equally urgent pieces those of an endpoint's own data
-// centre fill its call. A full call goes before a near one. An endpoint whose room
-// is taken gets no piece for which it would say so after the time of a call.
+// A result stays at the endpoint that produced it until it is released, and its consumer fetches it
+// from there. So an item with a large result names the data centre where the result will be used,
+// and among equally urgent items those of an endpoint's own data centre fill its batch. A full
+// batch takes precedence over a local one. An endpoint without free result storage gets no item
+// that it would refuse after the time of a batch.
 //
-// What results of others take at an endpoint is learnt from its own word ([Book.Told]) and
-// from pieces that it refuses ([Book.Full]). Jobs go whole into calls, but in pools so large
-// that the rest of a job follows within some milliseconds.
+// Storage occupied by results of other schedulers is learned from the endpoint's report
+// ([Book.Told]) and from items that it refuses ([Book.Full]). A job is not split over batches,
+// except in pools so large that its remaining items follow within milliseconds.
 //
-// Two instances may gather one pool for a while, when they differ about who is
-// alive. That costs fullness and some refused calls; it makes no result wrong, for
-// a piece may be made twice. The package starts nothing and reads no clock.
+// Two instances may schedule the same pool for a while, when their membership views differ. That
+// costs batch size and some refused batches, but no result becomes wrong, because an item may be
+// processed twice. The package starts no goroutines and reads no clock.
 package gather
--- a/pkg/gather/fill.go
+++ b/pkg/gather/fill.go
@@ -6,112 +6,112 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// fill takes pieces for a call: the most urgent job, then those of the next that
-// want the endpoint's data centre or none, then the others. Jobs go whole into a call
-// if they can. One that is split is done only with the later of its calls; what the
-// sooner one made takes room for nothing until then, and whoever takes the results
-// fetches them from two places.
-func (bk *Book) fill(mkr *maker, now clock.Milli) (Batch, bool) {
-	look := slices.Clone(bk.ahead())
-	look = slices.DeleteFunc(look, func(pc Piece) bool { return bk.waitsFor(pc, mkr, now) })
-	cl := filling{bk: bk, mkr: mkr, taken: map[int64]bool{}}
-	jobs := jobsOf(look)
-	first := slices.IndexFunc(jobs, cl.fits)
+// fill composes a batch: the most urgent job first, then jobs that prefer the endpoint's data
+// centre or none, then the others. Jobs are kept whole where possible. A split job completes only
+// with the later of its batches; until then the results of the earlier one occupy storage to no
+// use, and the consumer has to fetch results from two endpoints.
+func (sch *Book) fill(ep *endpoint, now clock.Milli) (Batch, bool) {
+	look := slices.Clone(sch.mostUrgent())
+	look = slices.DeleteFunc(look, func(itm Piece) bool { return sch.reservedElsewhere(itm, ep, now) })
+	bld := builder{sch: sch, ep: ep, taken: map[int64]bool{}}
+	jobs := groupByJob(look)
+	first := slices.IndexFunc(jobs, bld.fits)
 	if first < 0 {
 		return Batch{}, false
 	}
-	cl.take(jobs[first])
+	bld.add(jobs[first])
 	if jobs[first][0].Alone {
-		return bk.begin(mkr, cl, now)
+		return sch.startBatch(ep, bld, now)
 	}
 	jobs = slices.DeleteFunc(jobs, func(job []Piece) bool { return job[0].Alone })
 	for _, near := range []bool{true, false} {
 		for _, job := range jobs {
-			if (job[0].Zone == "" || job[0].Zone == mkr.Zone) == near && !cl.taken[job[0].ID] && cl.fits(job) {
-				cl.take(job)
+			if (job[0].Zone == "" || job[0].Zone == ep.Zone) == near && !bld.taken[job[0].ID] && bld.fits(job) {
+				bld.add(job)
 			}
 		}
 	}
-	if bk.tops(cl, now) {
-		cl.top(jobs)
+	if sch.mayTopUp(bld, now) {
+		bld.topUp(jobs)
 	}
-	return bk.begin(mkr, cl, now)
+	return sch.startBatch(ep, bld, now)
 }
 
-// tops tells whether a call is filled up with a part of a job: more waits than a call holds,
-// and the rest of the job begins so soon after that it is hardly later for it. In a pool of
-// many endpoints, whose calls begin some milliseconds apart, calls that hold whole jobs only
-// would leave a part of each endpoint idle while requests are refused.
-func (bk *Book) tops(cl filling, now clock.Milli) bool {
-	if len(bk.waiting)-len(cl.pieces) < bk.spec.Most || bk.spec.Room > 0 && float64(cl.bytes) > topShare*float64(bk.spec.Room) {
+// mayTopUp reports whether a batch may be filled up with part of a job. That requires more waiting
+// items than a batch holds, and batches that start so soon after each other that the remaining
+// items are hardly delayed. In a pool of many endpoints, whose batches start some milliseconds
+// apart, batches of whole jobs only would leave part of each endpoint's capacity unused while
+// requests are refused.
+func (sch *Book) mayTopUp(bld builder, now clock.Milli) bool {
+	if len(sch.waiting)-len(bld.items) < sch.spec.Most || sch.spec.Room > 0 && float64(bld.bytes) > topUpRoomShare*float64(sch.spec.Room) {
 		return false
 	}
-	rate, _ := bk.rate(now)
-	return rate > 0 && float64(bk.spec.Time(bk.spec.Most)) <= topWait*rate
+	rate, _ := sch.effectiveSlots(now)
+	return rate > 0 && float64(sch.spec.Time(sch.spec.Most)) <= topUpIntervalMs*rate
 }
 
-// jobsOf groups pieces by their jobs, in the order of the first piece of each.
-func jobsOf(list []Piece) [][]Piece {
+// groupByJob groups items by job, in the order of the first item of each.
+func groupByJob(list []Piece) [][]Piece {
 	at := map[int64]int{}
 	var jobs [][]Piece
-	for _, pc := range list {
-		i, ok := at[pc.Job]
+	for _, itm := range list {
+		i, ok := at[itm.Job]
 		if !ok {
 			i = len(jobs)
-			at[pc.Job] = i
+			at[itm.Job] = i
 			jobs = append(jobs, nil)
 		}
-		jobs[i] = append(jobs[i], pc)
+		jobs[i] = append(jobs[i], itm)
 	}
 	return jobs
 }
 
-// filling is a call that is being filled.
-type filling struct {
-	bk     *Book
-	mkr    *maker
-	pieces []Piece
-	taken  map[int64]bool
-	bytes  int64
+// builder composes a batch.
+type builder struct {
+	sch   *Book
+	ep    *endpoint
+	items []Piece
+	taken map[int64]bool
+	bytes int64
 }
 
-// fits tells whether a job has place and room in the call: the whole of it, or, if it is
-// one that is split, its first piece.
-func (cl *filling) fits(job []Piece) bool {
+// fits reports whether the batch has room for a job: for all of it or, if the job may be split, for
+// its first item.
+func (bld *builder) fits(job []Piece) bool {
 	var bytes int64
-	for _, pc := range job {
-		bytes += pc.Bytes
+	for _, itm := range job {
+		bytes += itm.Bytes
 	}
-	if cl.bk.splits(job, bytes) {
-		return len(cl.pieces) < cl.bk.spec.Most && cl.bk.fits(cl.mkr, cl.bytes, job[0])
+	if bld.sch.maySplit(job, bytes) {
+		return len(bld.items) < bld.sch.spec.Most && bld.sch.fits(bld.ep, bld.bytes, job[0])
 	}
-	return len(cl.pieces)+len(job) <= cl.bk.spec.Most && cl.bk.fits(cl.mkr, cl.bytes+bytes, Piece{})
+	return len(bld.items)+len(job) <= bld.sch.spec.Most && bld.sch.fits(bld.ep, bld.bytes+bytes, Piece{})
 }
 
-// splits tells whether a job is made in parts: one that was already, and one that is too
-// large for a call.
-func (bk *Book) splits(job []Piece, bytes int64) bool {
-	return job[0].Rest || len(job) > bk.spec.Most || bk.spec.Room > 0 && float64(bytes) > wholeShare*float64(bk.spec.Room)
+// maySplit reports whether a job may be split over batches: one that has begun already, or one too
+// large for a batch.
+func (sch *Book) maySplit(job []Piece, bytes int64) bool {
+	return job[0].Rest || len(job) > sch.spec.Most || sch.spec.Room > 0 && float64(bytes) > wholeJobRoomShare*float64(sch.spec.Room)
 }
 
-// take takes as much of a job as fits.
-func (cl *filling) take(job []Piece) {
-	for _, pc := range job {
-		if len(cl.pieces) >= cl.bk.spec.Most || cl.taken[pc.ID] || !cl.bk.fits(cl.mkr, cl.bytes, pc) {
+// add adds the items of a job that fit.
+func (bld *builder) add(job []Piece) {
+	for _, itm := range job {
+		if len(bld.items) >= bld.sch.spec.Most || bld.taken[itm.ID] || !bld.sch.fits(bld.ep, bld.bytes, itm) {
 			continue
 		}
-		cl.taken[pc.ID] = true
-		cl.bytes += pc.Bytes
-		cl.pieces = append(cl.pieces, pc)
+		bld.taken[itm.ID] = true
+		bld.bytes += itm.Bytes
+		bld.items = append(bld.items, itm)
 	}
 }
 
-// top takes what there is place for of the most urgent job that was left out.
-func (cl *filling) top(jobs [][]Piece) {
+// topUp adds the items that fit of the most urgent job not in the batch yet.
+func (bld *builder) topUp(jobs [][]Piece) {
 	for _, job := range jobs {
-		if before := len(cl.pieces); !cl.taken[job[0].ID] {
-			cl.take(job)
-			if len(cl.pieces) > before {
+		if before := len(bld.items); !bld.taken[job[0].ID] {
+			bld.add(job)
+			if len(bld.items) > before {
 				return
 			}
 		}
--- a/pkg/gather/gather.go
+++ b/pkg/gather/gather.go
@@ -7,73 +7,72 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// Constants of the choice.
+// Parameters of the scheduler.
 const (
-	// speedShare is the weight of a new call in an endpoint's speed.
-	speedShare = 0.3
-	// fillShare is the weight of a new call in how full calls are.
-	fillShare = 0.1
-	// slowFrom is how many times its planned time an endpoint takes before it
-	// is passed over while others will be free sooner.
-	slowFrom = 1.6
-	// speedHalf is the time after which half of an endpoint's slowness is
-	// forgotten, so that one which nobody calls is tried again.
-	speedHalf = 3000.0
-	// benchFor is how long an endpoint that failed a call gets none; it doubles
-	// with each failure in a row, up to maxBench.
-	benchFor = 500 * clock.Milli(1)
-	maxBench = 4 * clock.Second
-	// hangFactor times the expected time of a call, and hangMargin beyond it,
-	// is how long an answer is waited for. A silent endpoint looks like a slow
-	// one until then.
-	hangFactor = 3.0
-	hangMargin = 300 * clock.Milli(1)
-	// fullFor is how long an endpoint that had no room gets no call, unless
-	// something is given back sooner.
-	fullFor = 60 * clock.Milli(1)
-	// othersFor is how long room that a piece was refused for counts as taken by others.
-	othersFor = clock.Second
-	// lookAhead times the size of a call is how many of the most urgent pieces are
-	// looked at for those of the endpoint's own data centre, and for such as fill the
-	// call. The most urgent job goes whatever is found, so that none waits for long.
-	lookAhead = 6
-	// rankStep is how much earlier each step of priority makes a piece.
-	rankStep = 300 * clock.Milli(1)
-	// topWait is how far apart the calls of a pool may begin, in milliseconds, for a job to
-	// be split in order to fill them.
-	topWait = 30.0
-	// topShare of an endpoint's room is the most that a call's results may take if the call is
-	// to be filled with a part of a job: what is made of that job takes room until its rest
-	// is made too.
-	topShare = 0.5
-	// wholeShare of an endpoint's room is the most that the results of a job may take
-	// if it is to be made in one call. Larger ones would wait for long until so much
-	// room is free at one endpoint, while small ones take each bit of it.
-	wholeShare = 0.25
+	// slownessWeight is the weight of a new batch in an endpoint's slowness.
+	slownessWeight = 0.3
+	// fillWeight is the weight of a new batch in the mean batch size.
+	fillWeight = 0.1
+	// slowThreshold is the ratio of measured to planned time above which an endpoint is skipped
+	// while others will be free sooner.
+	slowThreshold = 1.6
+	// slownessHalfLife is the half-life of an endpoint's slowness in milliseconds, so that an
+	// endpoint that gets no batches is tried again.
+	slownessHalfLife = 3000.0
+	// minEject is how long an endpoint is ejected after a failed batch; it doubles with each
+	// consecutive failure, up to maxEject.
+	minEject = 500 * clock.Milli(1)
+	maxEject = 4 * clock.Second
+	// The time-out of a batch is timeoutFactor times its expected time, plus timeoutMargin. Until
+	// then a silent endpoint cannot be told from a slow one.
+	timeoutFactor = 3.0
+	timeoutMargin = 300 * clock.Milli(1)
+	// fullRetryDelay is how long an endpoint without free result storage gets no batch, unless a
+	// result is released sooner.
+	fullRetryDelay = 60 * clock.Milli(1)
+	// foreignTTL is how long storage that was refused to an item counts as occupied by foreign
+	// results.
+	foreignTTL = clock.Second
+	// lookAheadBatches times the batch size is how many of the most urgent items are considered to
+	// fill a batch, local ones first. The most urgent job that fits is always included, so that
+	// none is starved.
+	lookAheadBatches = 6
+	// priorityStep is added to the due time, for ordering, for each step of priority below the
+	// highest.
+	priorityStep = 300 * clock.Milli(1)
+	// topUpIntervalMs is the longest interval between the batches of a pool, in milliseconds, at
+	// which jobs are split to fill batches.
+	topUpIntervalMs = 30.0
+	// topUpRoomShare is the share of an endpoint's result storage above which a batch is not topped
+	// up with part of a job, whose results occupy storage until its remaining items are complete.
+	topUpRoomShare = 0.5
+	// wholeJobRoomShare is the share of an endpoint's result storage above which the results of a
+	// job may be split. A larger job would wait long for so much storage at one endpoint, while
+	// small ones take each bit that is released.
+	wholeJobRoomShare = 0.25
 )
 
-// Spec tells how each endpoint of the pool takes pieces.
+// Spec describes how the endpoints of a pool process items.
 type Spec struct {
-	// Places is how many calls an endpoint works on at once.
+	// Places is the number of concurrent batches of an endpoint.
 	Places int
-	// Most is the number of pieces in a call.
+	// Most is the largest number of items in a batch.
 	Most int
-	// Call is the time of a call and Item what each piece adds, in
-	// milliseconds.
+	// Call is the fixed time of a batch and Item the time that each item adds, in milliseconds.
 	Call float64
 	Item float64
-	// Room is what an endpoint holds of results, in bytes; zero for no bound.
+	// Room is the result storage of an endpoint in bytes; zero if unbounded.
 	Room int64
-	// Keep is how long a result is held that nobody gives back.
+	// Keep is the TTL of a result that is not released.
 	Keep clock.Milli
 }
 
-// Time gives the planned time of a call of n pieces.
+// Time returns the planned time of a batch of n items.
 func (spc Spec) Time(n int) clock.Milli {
 	return clock.Milli(spc.Call + spc.Item*float64(n))
 }
 
-// Maker is an endpoint that makes pieces.
+// Maker is an endpoint of the pool.
 type Maker struct {
 	ID      string
 	Addr    string
@@ -81,280 +80,281 @@
 	Leaving bool
 }
 
-// Piece is one piece of one stage of one request.
+// Piece is an item: a unit of work of one stage of one request.
 type Piece struct {
-	// ID is given by whoever adds the piece and names it in all that follows.
+	// ID is assigned by the caller and identifies the item in all later calls.
 	ID int64
-	// Job is the order that the piece belongs to: pieces of one stage of one
-	// request, which is not done before all of them are made.
+	// Job groups the items of one stage of one request; the job is complete when all its items are.
 	Job int64
-	// Due is the instant by which the piece must be made for its request to be
-	// in time; Until the one after which it is of no use at all.
+	// Due is when the item must be complete for its request to be on time; after Until it is of no
+	// use.
 	Due   clock.Milli
 	Until clock.Milli
-	// Rank is the request's priority, 0 first.
+	// Rank is the request's priority, 0 being the highest.
 	Rank int
-	// Zone is where the piece should be made, for what it takes or for who takes
-	// it; empty if that matters not. Until NearUntil the piece waits for an endpoint
-	// there.
+	// Zone is the preferred data centre, where the item's inputs are or its result will be used;
+	// empty if there is none. Until NearUntil the item waits for an endpoint there.
 	Zone      string
 	NearUntil clock.Milli
-	// Bytes is the rough size of the result.
+	// Bytes is the estimated size of the result.
 	Bytes int64
-	// Rest tells that other pieces of its job are made or under way: their results
-	// take room until this piece is made too.
+	// Rest reports that the job has begun: other items of it are complete or in progress, and their
+	// results occupy storage until this one is complete too.
 	Rest bool
-	// Alone tells that its job shares no call with others: an endpoint ended under it, and the
-	// next one may too.
+	// Alone makes the job exclusive: it shares no batch with other jobs, because an endpoint
+	// crashed under it and the next one may too.
 	Alone bool
 }
 
-// Batch is a call to be made.
+// Batch is a set of items to be sent to an endpoint.
 type Batch struct {
 	ID     int64
 	Maker  Maker
 	Pieces []Piece
-	// GiveUp is how long to wait for the answer.
+	// GiveUp is the time-out of the batch.
 	GiveUp clock.Milli
 }
 
-// Result is a piece that was made and takes room until it is given back.
+// Result is the result of an item; it occupies storage until it is released.
 type Result struct {
 	Handle string
 	Bytes  int64
 }
 
-// Verdict tells how a call ended.
+// Verdict is how a batch ended.
 type Verdict int
 
-// The verdicts.
+// Verdicts of a batch.
 const (
-	// Made: the endpoint answered, whatever it said of each piece.
+	// Made: the endpoint answered, with whatever outcome for each item.
 	Made Verdict = iota
-	// Full: it had no place for the call.
+	// Full: the endpoint had no free slot.
 	Full
-	// Failed: no answer, or nonsense.
+	// Failed: there was no answer or an invalid one.
 	Failed
-	// GivenUp: we ended the call ourselves; nothing is learned.
+	// GivenUp: the batch was cancelled by its sender, which says nothing about the endpoint.
 	GivenUp
 )
 
-type maker struct {
+type endpoint struct {
 	Maker
-	// others is what results take that are not known here, until othersUntil.
-	others      int64
-	othersUntil clock.Milli
-	calls       int
-	held        int64
-	speed       float64
-	speedAt     clock.Milli
-	// guessed tells that the speed follows from an answer that didn't come.
-	guessed  bool
-	failures int
-	closed   clock.Milli
-	// later is the instant from which it may be called again.
-	later clock.Milli
-	// full is until when the endpoint has no room, by its own word.
-	full clock.Milli
+	// foreignBytes is the storage occupied by results that this scheduler does not know, until
+	// foreignUntil.
+	foreignBytes int64
+	foreignUntil clock.Milli
+	batches      int
+	heldBytes    int64
+	slowRatio    float64
+	slowRatioAt  clock.Milli
+	// inferred is set if slowRatio is a lower bound inferred from a missing answer.
+	inferred     bool
+	failures     int
+	blockedUntil clock.Milli
+	// pausedUntil is when the endpoint may be sent batches again; see [Book.Hold].
+	pausedUntil clock.Milli
+	// fullUntil is when the endpoint may be sent batches again after it refused an item for lack of
+	// result storage.
+	fullUntil clock.Milli
 }
 
-// slowness gives how many times its planned time the endpoint's calls take.
-func (mkr *maker) slowness(now clock.Milli) float64 {
-	if mkr.speed <= 1 {
-		return mkr.speed
+// slowness returns the ratio of measured to planned time of the endpoint's batches, decayed towards
+// 1.
+func (ep *endpoint) slowness(now clock.Milli) float64 {
+	if ep.slowRatio <= 1 {
+		return ep.slowRatio
 	}
-	return 1 + (mkr.speed-1)*math.Exp2(-float64(now-mkr.speedAt)/speedHalf)
+	return 1 + (ep.slowRatio-1)*math.Exp2(-float64(now-ep.slowRatioAt)/slownessHalfLife)
 }
 
-func (mkr *maker) setSpeed(speed float64, now clock.Milli) { mkr.speed, mkr.speedAt = speed, now }
+func (ep *endpoint) setSlowness(slowRatio float64, now clock.Milli) {
+	ep.slowRatio, ep.slowRatioAt = slowRatio, now
+}
 
-// answered takes how many times its planned time a call took that was answered. The first
-// answer after one that didn't come counts alone: that may have been lost on its way, from
-// an endpoint which is as fast as ever.
-func (mkr *maker) answered(ratio float64, now clock.Milli) {
-	was := mkr.slowness(now)
-	share := speedShare
-	if mkr.guessed {
+// recordAnswer adds the ratio of measured to planned time of an answered batch. The first answer
+// after a missing one replaces the inferred ratio: the missing answer may have been lost on the
+// network although the endpoint is as fast as ever.
+func (ep *endpoint) recordAnswer(ratio float64, now clock.Milli) {
+	was := ep.slowness(now)
+	share := slownessWeight
+	if ep.inferred {
 		share = 1
 	}
-	mkr.guessed = false
-	mkr.setSpeed(was+share*(max(ratio, 0.5)-was), now)
+	ep.inferred = false
+	ep.setSlowness(was+share*(max(ratio, 0.5)-was), now)
 }
 
-type call struct {
-	maker  *maker
-	count  int
-	bytes  int64
-	began  clock.Milli
-	expect clock.Milli
+type openBatch struct {
+	endpoint *endpoint
+	count    int
+	bytes    int64
+	began    clock.Milli
+	expect   clock.Milli
 }
 
-type held struct {
-	maker *maker
-	bytes int64
-	until clock.Milli
+type storedResult struct {
+	endpoint *endpoint
+	bytes    int64
+	until    clock.Milli
 }
 
-// Book is what an instance that gathers a pool knows of it. The zero value is an
-// empty pool. It is not safe for concurrent use.
+// Book is the batch scheduler of a pool. The zero value is an empty pool. It is not safe for
+// concurrent use.
 type Book struct {
-	spec    Spec
-	makers  []*maker
-	byID    map[string]*maker
-	waiting []Piece
-	calls   map[int64]*call
-	results map[string]held
-	next    int64
-	// filled is the mean number of pieces of calls that were begun while there
-	// were enough to fill them.
-	filled  float64
-	pace    pace
-	spacing spacing
-	// alone is the instant from which all results are known here.
-	alone clock.Milli
+	spec      Spec
+	endpoints []*endpoint
+	byID      map[string]*endpoint
+	waiting   []Piece
+	batches   map[int64]*openBatch
+	results   map[string]storedResult
+	lastID    int64
+	// meanFill is the mean size of batches started while enough items waited to fill them.
+	meanFill   float64
+	throughput throughput
+	spacing    spacing
+	// allKnownAt is when all results from before this scheduler started will have expired.
+	allKnownAt clock.Milli
 }
 
-// Set gives the pool's specification.
-func (bk *Book) Set(spc Spec) { bk.spec = spc }
+// Set sets the specification of the pool.
+func (sch *Book) Set(spc Spec) { sch.spec = spc }
 
-// Sync makes the book hold just these endpoints; what is known of those that
-// stay is kept. One that was heard to be leaving stays so.
-func (bk *Book) Sync(list []Maker) {
-	byID := make(map[string]*maker, len(list))
-	makers := make([]*maker, 0, len(list))
-	for _, mkr := range list {
-		cur, ok := bk.byID[mkr.ID]
+// Sync replaces the list of endpoints; the state of those that remain is kept. An endpoint once
+// marked as leaving stays so.
+func (sch *Book) Sync(list []Maker) {
+	byID := make(map[string]*endpoint, len(list))
+	endpoints := make([]*endpoint, 0, len(list))
+	for _, ep := range list {
+		cur, ok := sch.byID[ep.ID]
 		if !ok {
-			cur = &maker{speed: 1}
+			cur = &endpoint{slowRatio: 1}
 		}
-		leaving := cur.Leaving || mkr.Leaving
-		cur.Maker = mkr
+		leaving := cur.Leaving || ep.Leaving
+		cur.Maker = ep
 		cur.Leaving = leaving
-		byID[mkr.ID] = cur
-		makers = append(makers, cur)
+		byID[ep.ID] = cur
+		endpoints = append(endpoints, cur)
 	}
-	bk.makers, bk.byID = makers, byID
+	sch.endpoints, sch.byID = endpoints, byID
 }
 
-// Leave notes that an endpoint is leaving.
-func (bk *Book) Leave(id string) {
-	if mkr, ok := bk.byID[id]; ok {
-		mkr.Leaving = true
+// Leave marks an endpoint as leaving.
+func (sch *Book) Leave(id string) {
+	if ep, ok := sch.byID[id]; ok {
+		ep.Leaving = true
 	}
 }
 
-// Hold keeps calls from an endpoint until an instant.
-func (bk *Book) Hold(id string, until clock.Milli) {
-	if mkr, ok := bk.byID[id]; ok {
-		mkr.later = until
+// Hold sends no batches to an endpoint until the given time.
+func (sch *Book) Hold(id string, until clock.Milli) {
+	if ep, ok := sch.byID[id]; ok {
+		ep.pausedUntil = until
 	}
 }
 
-// Add takes a piece that waits from now on. One that is alone makes its whole job so.
-func (bk *Book) Add(pc Piece) {
-	bk.waiting = append(bk.waiting, pc)
-	for i := range bk.waiting {
-		bk.waiting[i].Alone = bk.waiting[i].Alone || pc.Alone && bk.waiting[i].Job == pc.Job
+// Add queues an item. An exclusive item makes its whole job exclusive.
+func (sch *Book) Add(itm Piece) {
+	sch.waiting = append(sch.waiting, itm)
+	for i := range sch.waiting {
+		sch.waiting[i].Alone = sch.waiting[i].Alone || itm.Alone && sch.waiting[i].Job == itm.Job
 	}
 }
 
-// Remove takes a piece out that nobody wants any more; false if it doesn't wait.
-func (bk *Book) Remove(id int64) bool {
-	before := len(bk.waiting)
-	bk.waiting = slices.DeleteFunc(bk.waiting, func(pc Piece) bool { return pc.ID == id })
-	return before > len(bk.waiting)
+// Remove withdraws an item; it returns false if the item is not queued.
+func (sch *Book) Remove(id int64) bool {
+	before := len(sch.waiting)
+	sch.waiting = slices.DeleteFunc(sch.waiting, func(itm Piece) bool { return itm.ID == id })
+	return before > len(sch.waiting)
 }
 
-// Expired takes out the pieces that can't be made in any use of time and gives
-// them.
-func (bk *Book) Expired(now clock.Milli) []Piece {
+// Expired removes and returns the items that can no longer be completed before they are of no use.
+func (sch *Book) Expired(now clock.Milli) []Piece {
 	var gone []Piece
-	bk.waiting = slices.DeleteFunc(bk.waiting, func(pc Piece) bool {
-		if now+bk.spec.Time(1) <= pc.Until {
+	sch.waiting = slices.DeleteFunc(sch.waiting, func(itm Piece) bool {
+		if now+sch.spec.Time(1) <= itm.Until {
 			return false
 		}
-		gone = append(gone, pc)
+		gone = append(gone, itm)
 		return true
 	})
 	return gone
 }
 
-// Waiting gives the number of pieces that wait.
-func (bk *Book) Waiting() int { return len(bk.waiting) }
+// Waiting returns the number of queued items.
+func (sch *Book) Waiting() int { return len(sch.waiting) }
 
-// Usable counts the endpoints that get calls at all.
-func (bk *Book) Usable() int {
+// Usable returns the number of endpoints that are not leaving.
+func (sch *Book) Usable() int {
 	n := 0
-	for _, mkr := range bk.makers {
-		if !mkr.Leaving {
+	for _, ep := range sch.endpoints {
+		if !ep.Leaving {
 			n++
 		}
 	}
 	return n
 }
 
-// Wait estimates how long a piece that is added now waits until its call begins: the
-// calls under way, and the pieces that can still be in time, in calls as full as they
-// can be or, if that is slower, at the pace that was seen. Those that are late already
-// let it pass.
-func (bk *Book) Wait(now clock.Milli) clock.Milli {
-	rate, soonest := bk.rate(now)
+// Wait estimates how long an item added now would wait until its batch starts. It counts the
+// batches in progress and the queued items that can still be on time, started at the planned
+// interval or, if that is longer, at the measured one. Late items are overtaken and do not count.
+func (sch *Book) Wait(now clock.Milli) clock.Milli {
+	rate, soonest := sch.effectiveSlots(now)
 	if rate == 0 {
-		return maxBench
+		return maxEject
 	}
-	bk.pace.note(0, len(bk.waiting) >= bk.spec.Most, now)
-	each := max(bk.each(rate), bk.pace.each())
+	sch.throughput.observe(0, len(sch.waiting) >= sch.spec.Most, now)
+	interval := max(sch.plannedInterval(rate), sch.throughput.interval())
 	ahead := 0
-	for _, pc := range bk.waiting {
-		if now+bk.spec.Time(1) <= pc.Due {
+	for _, itm := range sch.waiting {
+		if now+sch.spec.Time(1) <= itm.Due {
 			ahead++
 		}
 	}
-	return soonest + clock.Milli(float64(ahead)*each)
+	return soonest + clock.Milli(float64(ahead)*interval)
 }
 
-// each gives the time in which so many places begin one more piece, in milliseconds.
-func (bk *Book) each(rate float64) float64 {
-	fill := bk.fullness()
-	return float64(bk.spec.Time(int(fill))) / fill / rate
+// plannedInterval returns the planned time between the starts of two items with the given number of
+// slots, in milliseconds.
+func (sch *Book) plannedInterval(rate float64) float64 {
+	fill := sch.expectedFill()
+	return float64(sch.spec.Time(int(fill))) / fill / rate
 }
 
-// rate gives the places that work on calls, slow ones counted less, and when the next
-// one comes free.
-func (bk *Book) rate(now clock.Milli) (rate float64, soonest clock.Milli) {
+// effectiveSlots returns the number of usable slots, with those of slow endpoints weighted down,
+// and the time until the first of them is free.
+func (sch *Book) effectiveSlots(now clock.Milli) (rate float64, soonest clock.Milli) {
 	soonest = -1
-	for _, mkr := range bk.makers {
-		if mkr.Leaving || now < mkr.closed || now < mkr.later {
+	for _, ep := range sch.endpoints {
+		if ep.Leaving || now < ep.blockedUntil || now < ep.pausedUntil {
 			continue
 		}
-		rate += float64(max(bk.spec.Places, 1)) / mkr.slowness(now)
-		if left := bk.left(mkr, now); soonest < 0 || left < soonest {
+		rate += float64(max(sch.spec.Places, 1)) / ep.slowness(now)
+		if left := sch.untilFree(ep, now); soonest < 0 || left < soonest {
 			soonest = left
 		}
 	}
 	return rate, soonest
 }
 
-// fullness gives how many pieces calls hold while there are more than enough: fewer
-// than they could where room is short.
-func (bk *Book) fullness() float64 {
-	if bk.filled == 0 {
-		return float64(max(bk.spec.Most, 1))
+// expectedFill returns the expected size of a batch while enough items wait: less than the limit
+// where result storage is short.
+func (sch *Book) expectedFill() float64 {
+	if sch.meanFill == 0 {
+		return float64(max(sch.spec.Most, 1))
 	}
-	return max(bk.filled, 1)
+	return max(sch.meanFill, 1)
 }
 
-// left gives the time until an endpoint's next place comes free.
-func (bk *Book) left(mkr *maker, now clock.Milli) clock.Milli {
-	if mkr.calls < max(bk.spec.Places, 1) {
+// untilFree returns the time until an endpoint's next slot is free.
+func (sch *Book) untilFree(ep *endpoint, now clock.Milli) clock.Milli {
+	if ep.batches < max(sch.spec.Places, 1) {
 		return 0
 	}
 	soonest := clock.Milli(0)
-	for _, cl := range bk.calls {
-		if cl.maker != mkr {
+	for _, ob := range sch.batches {
+		if ob.endpoint != ep {
 			continue
 		}
-		if left := max(cl.began+cl.expect-now, 1); soonest == 0 || left < soonest {
+		if left := max(ob.began+ob.expect-now, 1); soonest == 0 || left < soonest {
 			soonest = left
 		}
 	}
--- a/pkg/gather/learn.go
+++ b/pkg/gather/learn.go
@@ -2,102 +2,102 @@
 
 import "amaranthvalve/pkg/clock"
 
-// Ended notes the end of a call, with the results that it made.
-func (bk *Book) Ended(id int64, ver Verdict, made []Result, now clock.Milli) {
-	cl, ok := bk.calls[id]
+// Ended records the end of a batch and the results it produced.
+func (sch *Book) Ended(id int64, ver Verdict, made []Result, now clock.Milli) {
+	ob, ok := sch.batches[id]
 	if !ok {
 		return
 	}
-	delete(bk.calls, id)
-	mkr := cl.maker
-	mkr.calls--
-	mkr.held -= cl.bytes
-	if bk.results == nil {
-		bk.results = map[string]held{}
+	delete(sch.batches, id)
+	ep := ob.endpoint
+	ep.batches--
+	ep.heldBytes -= ob.bytes
+	if sch.results == nil {
+		sch.results = map[string]storedResult{}
 	}
 	for _, res := range made {
-		bk.results[res.Handle] = held{maker: mkr, bytes: res.Bytes, until: now + bk.spec.Keep}
-		mkr.held += res.Bytes
+		sch.results[res.Handle] = storedResult{endpoint: ep, bytes: res.Bytes, until: now + sch.spec.Keep}
+		ep.heldBytes += res.Bytes
 	}
-	bk.judge(mkr, cl, ver, now)
+	sch.updateHealth(ep, ob, ver, now)
 }
 
-func (bk *Book) judge(mkr *maker, cl *call, ver Verdict, now clock.Milli) {
+func (sch *Book) updateHealth(ep *endpoint, ob *openBatch, ver Verdict, now clock.Milli) {
 	switch ver {
 	case Made:
-		mkr.failures = 0
-		mkr.answered(float64(max(now-cl.began, 1))/float64(max(bk.spec.Time(cl.count), 1)), now)
+		ep.failures = 0
+		ep.recordAnswer(float64(max(now-ob.began, 1))/float64(max(sch.spec.Time(ob.count), 1)), now)
 	case Full:
-		// Somebody else gathers here too, or calls of the one before us are
-		// still under way; half a call later a place may be free.
-		mkr.closed = now + bk.spec.Time(1)/2
+		// Another instance schedules this pool too, or batches of the previous scheduler are still
+		// in progress; a slot may be free half a batch later.
+		ep.blockedUntil = now + sch.spec.Time(1)/2
 	case Failed:
-		// No answer says that a call takes at least so long.
-		mkr.setSpeed(max(mkr.slowness(now), float64(now-cl.began)/float64(max(bk.spec.Time(cl.count), 1))), now)
-		mkr.guessed = true
-		mkr.closed = now + min(benchFor<<min(mkr.failures, 5), maxBench)
-		mkr.failures++
+		// A missing answer implies that the batch takes at least this long.
+		ep.setSlowness(max(ep.slowness(now), float64(now-ob.began)/float64(max(sch.spec.Time(ob.count), 1))), now)
+		ep.inferred = true
+		ep.blockedUntil = now + min(minEject<<min(ep.failures, 5), maxEject)
+		ep.failures++
 	case GivenUp:
 	}
 }
 
-// Full notes that an endpoint had no room for a piece. Sizes are rough, and another
-// instance may hold results there: whatever our count says, more is not tried until
-// something was given back or a moment has passed. While there may be results from before
-// this instance began, what our count lacks is taken for theirs for a while: after a loss of all,
-// calls made for their room came back half refused until it lapsed, and jobs of which a part
-// was made held what was left. Later it is only that sizes are rough.
-func (bk *Book) Full(id string, now clock.Milli) {
-	mkr, ok := bk.byID[id]
+// Full records that an endpoint refused an item for lack of result storage. Sizes are estimates,
+// and other schedulers may have results there, so whatever this one's count says, no batch is sent
+// until a result is released or fullRetryDelay has passed. While results from before this scheduler
+// started may exist, the storage missing from its count is attributed to them for foreignTTL: after
+// a loss of all instances, batches sized by the count came back half refused until those results
+// expired, and partly completed jobs occupied what was left. Later a refusal only means that sizes
+// are estimates.
+func (sch *Book) Full(id string, now clock.Milli) {
+	ep, ok := sch.byID[id]
 	if !ok {
 		return
 	}
-	mkr.full = now + fullFor
-	if bk.spec.Room > 0 && now < bk.alone {
-		mkr.others = max(mkr.others, bk.spec.Room-mkr.held)
-		mkr.othersUntil = max(mkr.othersUntil, now+othersFor)
+	ep.fullUntil = now + fullRetryDelay
+	if sch.spec.Room > 0 && now < sch.allKnownAt {
+		ep.foreignBytes = max(ep.foreignBytes, sch.spec.Room-ep.heldBytes)
+		ep.foreignUntil = max(ep.foreignUntil, now+foreignTTL)
 	}
 }
 
-// Begin notes that this instance begins to gather the pool: for as long as results are held
-// that nobody gives back, there may be some that are not known here.
-func (bk *Book) Begin(now clock.Milli) { bk.alone = now + bk.spec.Keep }
+// Begin records that this instance starts to schedule the pool: until the TTL of results has
+// passed, there may be results that it does not know.
+func (sch *Book) Begin(now clock.Milli) { sch.allKnownAt = now + sch.spec.Keep }
 
-// Told notes how many bytes of results an endpoint has room for by its own word. What is taken
-// beyond what is known here was made for an instance that gathered before; it only shrinks,
-// and is gone when results lapse. So a later word counts only if it tells of less: it is some
-// hundred milliseconds old, and counts results of our own among the others' that were given
-// back meanwhile. Told gives what is taken so.
-func (bk *Book) Told(id string, free int64, now clock.Milli) int64 {
-	mkr, ok := bk.byID[id]
-	if !ok || bk.spec.Room == 0 {
+// Told records the free result storage that an endpoint reports and returns the storage occupied by
+// foreign results. These were produced for a previous scheduler; their size only shrinks and is
+// zero once they expire. So a later report counts only if it lowers the estimate: a report is some
+// hundred milliseconds old, and own results released since would count as foreign.
+func (sch *Book) Told(id string, free int64, now clock.Milli) int64 {
+	ep, ok := sch.byID[id]
+	if !ok || sch.spec.Room == 0 {
 		return 0
 	}
-	others := max(bk.spec.Room-free-mkr.held, 0)
-	if now >= mkr.othersUntil {
-		mkr.others, mkr.othersUntil = others, now+bk.spec.Keep
+	foreign := max(sch.spec.Room-free-ep.heldBytes, 0)
+	if now >= ep.foreignUntil {
+		ep.foreignBytes, ep.foreignUntil = foreign, now+sch.spec.Keep
 	}
-	mkr.others = min(mkr.others, others)
-	return mkr.others
+	ep.foreignBytes = min(ep.foreignBytes, foreign)
+	return ep.foreignBytes
 }
 
-// Free notes that a result was given back, and tells whose it was; false if it
-// is not known here.
-func (bk *Book) Free(handle string) (Maker, bool) {
-	res, ok := bk.results[handle]
+// Free records the release of a result and returns the endpoint that stored it, or false if the
+// result is not known.
+func (sch *Book) Free(handle string) (Maker, bool) {
+	res, ok := sch.results[handle]
 	if !ok {
 		return Maker{}, false
 	}
-	res.maker.held -= res.bytes
-	res.maker.full = 0
-	delete(bk.results, handle)
-	return res.maker.Maker, true
+	res.endpoint.heldBytes -= res.bytes
+	res.endpoint.fullUntil = 0
+	delete(sch.results, handle)
+	return res.endpoint.Maker, true
 }
 
-// Held gives the bytes of results that an endpoint holds, as far as known.
-func (bk *Book) Held(id string) int64 {
-	if mkr, ok := bk.byID[id]; ok {
-		return mkr.held
+// Held returns the known bytes of results stored at an endpoint.
+func (sch *Book) Held(id string) int64 {
+	if ep, ok := sch.byID[id]; ok {
+		return ep.heldBytes
 	}
 	return 0
 }
