--- a/pkg/place/bench_test.go
+++ b/pkg/place/bench_test.go
@@ -5,19 +5,18 @@
 	"testing"
 )
 
-// BenchmarkPick measures the choice among the engines of today and of two years from now,
-// each with some requests.
+// BenchmarkPick measures the choice among 18, 64 and 1,600 engines with four requests each.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{18, 64, 1600} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			bk := newBook(n)
+			plc := newBook(n)
 			for i := range 4 * n {
-				bk.Begin(fmt.Sprintf("e%d", i%n), fmt.Sprint(i), prompt(fmt.Sprint(i%200)), 200, 0)
+				plc.Begin(fmt.Sprintf("e%d", i%n), fmt.Sprint(i), prompt(fmt.Sprint(i%200)), 200, 0)
 			}
 			ask := Ask{Prompt: prompt("7"), Gap: 200}
 			b.ReportAllocs()
 			for b.Loop() {
-				bk.Pick(ask, 1000)
+				plc.Pick(ask, 1000)
 			}
 		})
 	}
--- a/pkg/place/doc.go
+++ b/pkg/place/doc.go
@@ -2,39 +2,38 @@
 //
 // # Concepts
 //
-// Engines read prompts one after the other, in chunks between the steps of the streams that
-// they run, and each step waits for the chunk that it shares. So a prompt costs three
-// times: it waits for those before it, it takes its own time, and while it is read every
-// stream of that engine is slow. The further into a long prompt, the slower: beyond some ten
-// thousand tokens the others' events come too late, though the engine does nothing wrong. What
-// a request weighs is what it has to read, not that it is one.
+// Engines read prompts one after the other, in chunks between the decoding steps of their streams,
+// and each step waits for the chunk that it shares. So a prompt costs three times: it waits for
+// those before it, it takes its own time, and while it is read every stream of that engine is slow.
+// Decoding is slower the further the engine is into a long prompt: beyond some ten thousand tokens
+// the events of the other streams are late although the engine has no fault. The cost of a request
+// is what has to be read for it, so requests are not just counted.
 //
-// A prompt is a row of parts; requests share the first ones, and an engine that has read
-// them for one request need not read them for the next. One that hasn't may fetch them from one
-// that has, where engines can do that.
+// A prompt is a sequence of parts. Requests share the first ones, their prefix, and an engine that
+// has read a prefix for one request holds it in its prefix cache for the next. Another engine may
+// fetch it from there, where engines can do that.
 //
 // # The choice
 //
-// One instance places the prompts of a pool for all, as one gathers the pieces of a
-// pool; each instance by itself would know only of its own. A [Book] is what it knows: what
-// each engine has still to read and which streams it runs, which parts it holds, how slow it
-// is, how it fared lately. [Book.Pick] takes the engine at which the prompt costs least, all
-// in milliseconds: the time to its first event, the time by which it holds up the streams
-// there, what the streams lose that it would make late, parts that would be read again though
-// another engine holds them, results that would be fetched from another data centre. An engine
-// that runs nothing is spared a little, for a long prompt.
+// One instance places the prompts of a pool for all instances, as one schedules the batches of a
+// pool; each instance by itself would know only its own requests. A [Book] is the state of this
+// placer: for each engine what it has still to read, its streams, its cached parts, its slowness
+// and its recent failures. [Book.Pick] returns the engine of least cost in milliseconds: the time
+// to the first event, the delay of the streams there, the loss of the streams that would be late,
+// the parts that would be read again though another engine has them cached, and the results that
+// would be fetched from another data centre. Idle engines are spared a little, for long prompts.
 //
-// Where nothing is known of a prompt's parts, rendezvous hashing ranks the engines (D. Thaler
-// and C. Ravishankar, "Using name-based mappings to increase hit rates", 1998), so that
-// whoever places next chooses alike.
+// Where no part of a prompt is known to be cached, rendezvous hashing ranks the engines (D. Thaler
+// and C. Ravishankar, "Using name-based mappings to increase hit rates", 1998), so that the next
+// placer chooses the same one.
 //
-// # What is learnt
+// # Measurements
 //
-// How long prompts take by what has to be read, and how long streams pause beside prompts of
-// a length, are measured, not assumed: engines differ, and documents tell neither. So is
-// how slow each engine is against the others. An engine that takes prompts and begins none
-// grows dearer with each moment, for all instances at once. One that failed several times in
-// a row is passed over for a while, and then tried with one request.
+// The time to read a prompt by its uncached tokens, and the pauses of streams by the length of the
+// prompts read beside them, are measured, since engines differ and service documents state neither.
+// So is the slowness of each engine against the others. An engine that accepts prompts and starts
+// none becomes more expensive with time, for all instances at once. One that failed several times
+// in a row is ejected for a while and then tried with one request.
 //
-// The package starts nothing and reads no clock.
+// The package starts no goroutines and reads no clock.
 package place
--- a/pkg/place/load_test.go
+++ b/pkg/place/load_test.go
@@ -12,8 +12,8 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// fleet is engines in fake time with requests that come by chance: pages, whose prompts are
-// long now and then and share documents, and short questions that stream for a second.
+// fleet simulates engines with random arrivals: pages, whose prompts are sometimes long and share
+// documents, and short questions that stream for a second.
 type fleet struct {
 	engines []*model.Engine
 	rnd     *rand.Rand
@@ -21,7 +21,7 @@
 	short   outcome
 }
 
-// outcome counts how requests of a kind fared.
+// outcome counts late requests of a kind.
 type outcome struct {
 	count  int
 	paused int
@@ -44,7 +44,7 @@
 	}
 }
 
-// newFleet has 18 engines, each third one 1.3 times as slow as the others.
+// newFleet returns 18 engines, every third of them 1.3 times as slow as the others.
 func newFleet() *fleet {
 	flt := &fleet{rnd: rand.New(rand.NewPCG(3, 4))}
 	for i := range 18 {
@@ -57,8 +57,8 @@
 	return flt
 }
 
-// page draws a prompt as clerks' pages have: a document of some thousand tokens and a log-normal
-// tail up to 54,000.
+// page draws the prompt of a page: a document of some thousand tokens and a log-normal tail of up
+// to 54,000.
 func (flt *fleet) page() Prompt {
 	doc := flt.rnd.IntN(175)
 	own := int(min(2480*math.Exp(1.4*flt.rnd.NormFloat64()), 54000)) + 10
@@ -70,13 +70,13 @@
 	return Prompt{Parts: []Part{{ID: fmt.Sprint("desk", flt.rnd.IntN(20)), Tokens: 200}, {ID: "own", Tokens: own}}, In: 200 + own, Out: 950}
 }
 
-// sent is a request under way.
+// sent is a request in progress.
 type sent struct {
 	at   float64
 	page bool
 }
 
-// play has ten pages and fifty questions a second come for a minute; choose places each.
+// play simulates ten pages and fifty questions a second for a minute; choose places each.
 func (flt *fleet) play(choose func(ticket string, prm Prompt, now clock.Milli) int, first, done func(ticket string, ans model.Answer, took float64)) {
 	under := map[string]sent{}
 	for _, eng := range flt.engines {
@@ -115,29 +115,28 @@
 	}
 }
 
-// TestLongPromptsBesideStreams plays the pattern on which this package stands: engines that
-// read for an eighth of their time, and prompts one in twenty of which makes every stream beside it
-// pause for more than 200 ms. Chosen by hashing, which a load of four requests an engine allows
-// anywhere, one request in twenty is late for a pause though no engine is busy: 28 of 597 pages and
-// 164 of 3,064 questions with this seed, where the package makes it 7 and 0. Who waits for a first
-// event must not pay for it.
+// TestLongPromptsBesideStreams guards the main assumption of this package: engines read for an
+// eighth of their time, and one prompt in twenty makes every stream beside it pause for more than
+// 200 ms. Placed by hashing alone, which a load of four requests per engine permits, one request in
+// twenty has a late pause although no engine is busy: 28 of 597 pages and 164 of 3,064 questions
+// with this seed, against 7 and 0 with this package. Times to the first event must not suffer.
 func TestLongPromptsBesideStreams(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	byHash := newFleet()
 	byHash.play(func(_ string, prm Prompt, _ clock.Milli) int {
-		bk := newBook(18)
-		seat, _ := bk.Pick(Ask{Prompt: prm}, 0)
+		plc := newBook(18)
+		seat, _ := plc.Pick(Ask{Prompt: prm}, 0)
 		return index(seat)
 	}, func(string, model.Answer, float64) {}, func(string, model.Answer, float64) {})
 
 	placed := newFleet()
-	bk := newBook(18)
+	plc := newBook(18)
 	placed.play(func(ticket string, prm Prompt, now clock.Milli) int {
-		return index(pick(bk, ticket, Ask{Prompt: prm, Gap: gapAim}, now))
+		return index(pick(plc, ticket, Ask{Prompt: prm, Gap: gapAim}, now))
 	}, func(ticket string, ans model.Answer, took float64) {
-		bk.First(ticket, clock.Milli(took), clock.Milli(ans.First))
+		plc.First(ticket, clock.Milli(took), clock.Milli(ans.First))
 	}, func(ticket string, ans model.Answer, _ float64) {
-		bk.End(ticket, Well, clock.Milli(ans.Pause), clock.Milli(ans.End))
+		plc.End(ticket, Well, clock.Milli(ans.Pause), clock.Milli(ans.End))
 	})
 	t.Logf("by hash: pages %+v, questions %+v; placed: pages %+v, questions %+v", byHash.pages, byHash.short, placed.pages, placed.short)
 	gom.Expect(share(byHash.pages.paused, byHash.pages)).To(gomega.BeNumerically(">", 0.04))
--- a/pkg/place/learn_test.go
+++ b/pkg/place/measure_test.go
@@ -8,8 +8,8 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// TestCurve: times that grow a little faster than sizes are measured in any order. Between
-// what was measured the curve is close; beyond it goes on in proportion.
+// TestCurve measures times that grow a little faster than sizes, in any order. The curve is close
+// between measurements and proportional beyond them.
 func TestCurve(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	var crv curve
@@ -27,27 +27,27 @@
 	gom.Expect(crv.slope(1)).To(gomega.BeNumerically("~", 0.028, 0.01))
 }
 
-// TestSlowness: one engine takes twice as long as others. That is learnt from what it was
-// alone with, and forgotten when nothing is heard for long, so that it is tried again.
+// TestSlowness: an engine takes twice as long as the others. The slowness is learned from
+// uncontended requests and decays without further measurements, so that the engine is tried again.
 func TestSlowness(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	var slw slowness
-	gom.Expect(slw.now(5000)).To(gomega.Equal(1.0))
+	gom.Expect(slw.current(5000)).To(gomega.Equal(1.0))
 	for range 20 {
 		slw.sample(2, 1000)
 	}
-	gom.Expect(slw.now(1000)).To(gomega.BeNumerically("~", 2, 0.05))
-	gom.Expect(slw.now(1000 + 4*slowHalf)).To(gomega.BeNumerically("<", 1.1))
+	gom.Expect(slw.current(1000)).To(gomega.BeNumerically("~", 2, 0.05))
+	gom.Expect(slw.current(1000 + 4*slownessHalfLife)).To(gomega.BeNumerically("<", 1.1))
 	slw.sample(1000, 1000)
-	gom.Expect(slw.now(1000)).To(gomega.BeNumerically("<", slowMost))
+	gom.Expect(slw.current(1000)).To(gomega.BeNumerically("<", maxSlowRatio))
 }
 
-// TestFrequency: something comes twice a second, and then no more.
+// TestFrequency: events come twice a second, then stop.
 func TestFrequency(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	var frq frequency
 	for i := range clock.Milli(200) {
-		frq.note(500 * i)
+		frq.record(500 * i)
 	}
 	end := clock.Milli(500 * 200)
 	gom.Expect(frq.expect(1000, end)).To(gomega.BeNumerically("~", 2, 0.2))
--- a/pkg/place/pick.go
+++ b/pkg/place/pick.go
@@ -9,125 +9,122 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// What an engine costs a prompt, in milliseconds.
+// Components of the cost of an engine, in milliseconds unless noted.
 const (
-	// guessFixed and guessToken are the time to a first event before any was measured: a
-	// few steps, and fifty tokens read in a millisecond.
-	guessFixed = 20.0
-	guessToken = 0.02
-	// delayShare of the time that a prompt is read is what each stream at the engine
-	// loses by it.
-	delayShare = 0.2
-	// pauseCost is what a stream of mean size loses that is late for a pause, some fraction of
-	// what it took so far; others lose more or less by their size, up to sizeMost times as
-	// much: with all alike the largest tenth of the answers fared worst of all.
-	pauseCost = 600.0
-	sizeMost  = 4.0
-	// pauseShare of the longest pause that is on time is what a prompt may cause by what
-	// was measured, which is a mean. With 0.75 long prompts found no engine that they may
-	// disturb, and were late themselves.
-	pauseShare = 0.9
-	// apartTimes is how many times the pauses that a stream may expect at an engine keep it
-	// away from there: where long prompts are read it would not only be late, it would keep the
-	// next one from finding an engine without streams.
-	apartTimes = 4.0
-	// fetchTimes the time to read what another engine holds is what fetching it costs, and
-	// againTimes what reading it again does beyond that time, for the engine and the memory.
-	// Fetching takes a few milliseconds, so that load decides where a prompt goes. Were it dear,
-	// prompts would keep to a few engines.
-	fetchTimes = 2.0
-	againTimes = 4.0
-	// farCost is what a megabyte of results costs that the engine must fetch from another data
-	// centre.
-	farCost = 100.0
-	// fetchLeast is how many tokens another engine must hold more for them to be fetched:
-	// setting it up takes as long as reading so many.
-	fetchLeast = 100
-	// bytesInMb is a megabyte, as links count it.
-	bytesInMb = 1e6
+	// defaultFixedMs and defaultMsPerToken give the time to the first event before any was
+	// measured: a few decoding steps, and fifty tokens read per millisecond.
+	defaultFixedMs    = 20.0
+	defaultMsPerToken = 0.02
+	// streamDelayFactor times the time to read a prompt is the delay of each stream at the engine.
+	streamDelayFactor = 0.2
+	// pauseCost is the loss of a stream of mean size that is late for a pause, a fraction of its
+	// time so far. For other streams it scales with their size, up to maxRelativeSize times the
+	// mean; with a uniform loss the largest tenth of the answers were late most often.
+	pauseCost       = 600.0
+	maxRelativeSize = 4.0
+	// pauseMargin times the maximum gap is the longest mean pause that a prompt may cause. With
+	// 0.75 long prompts found no engine that they could disrupt, and were late themselves.
+	pauseMargin = 0.9
+	// disruptionFactor weights the pauses that a stream may expect at an engine. A stream at an
+	// engine that reads long prompts would be late, and would also leave the next long prompt
+	// without an engine that has no streams.
+	disruptionFactor = 4.0
+	// fetchFactor times the time to read a prefix is the cost of fetching it from another engine;
+	// rereadFactor times that time is the extra cost, in engine time and memory, of reading it
+	// again. Fetching takes a few milliseconds, so that load decides the placement. With a high
+	// cost of fetching, prompts would stay on few engines.
+	fetchFactor  = 2.0
+	rereadFactor = 4.0
+	// remoteCostPerMB is the cost of a megabyte of results fetched from another data centre.
+	remoteCostPerMB = 100.0
+	// minFetchTokens is the least number of further tokens cached elsewhere for which they are
+	// fetched: the set-up of a fetch takes as long as reading so many.
+	minFetchTokens = 100
+	// bytesPerMB is a decimal megabyte, the unit of link rates.
+	bytesPerMB = 1e6
 )
 
-// Ask is a prompt to be placed.
+// Ask is a request to place a prompt.
 type Ask struct {
 	Prompt Prompt `cbor:"1,keyasint"`
-	// Salt spreads prompts that share nothing.
+	// Salt spreads prompts without shared parts.
 	Salt string `cbor:"2,keyasint,omitempty"`
-	// Avoid lists the engines that were tried.
+	// Avoid lists the engines already tried.
 	Avoid []string `cbor:"3,keyasint,omitempty"`
-	// Bytes of results that the engine will fetch lie in Zone.
+	// Zone is the data centre that holds results which the engine will fetch, and Bytes their size.
 	Zone  string `cbor:"4,keyasint,omitempty"`
 	Bytes int64  `cbor:"5,keyasint,omitempty"`
-	// Gap is the longest pause between events that is on time, zero for no bound.
+	// Gap is the maximum gap between events, zero for no bound.
 	Gap clock.Milli `cbor:"6,keyasint,omitempty"`
 }
 
-// Seat is the engine chosen for a prompt.
+// Seat is the placement of a prompt.
 type Seat struct {
 	Engine Engine
-	// From is the address of another engine from which it may fetch what that one holds of
-	// the prompt; empty for none.
+	// From is the address of another engine from which cached parts of the prompt may be fetched;
+	// empty if there is none.
 	From string
-	// What the choice went by: the time until the prompt is read, the time that takes, the
-	// requests at the engine, and the tokens that it holds.
+	// Inputs of the choice: the time until the engine starts to read the prompt, the time to read
+	// it, the requests at the engine, and the prompt's tokens that it has cached.
 	Wait    clock.Milli
 	Read    clock.Milli
 	Streams int
 	Held    int
 }
 
-// asked is an ask with what follows from it for all engines.
-type asked struct {
+// evaluation is an [Ask] with the values derived from it that are common to all engines.
+type evaluation struct {
 	Ask
-	// most is the largest number of tokens of the prompt that any engine holds, and by which
-	// one does.
-	most int
-	by   *engine
-	// home is the engine that ranks first for the shared parts.
-	home *engine
-	// token is the time to read one token.
-	token float64
-	// lasts is how long the stream will probably last.
-	lasts float64
-	now   clock.Milli
+	// mostCached is the largest number of the prompt's tokens cached at any engine, and cachedAt
+	// that engine.
+	mostCached int
+	cachedAt   *engine
+	// preferred ranks first by rendezvous hashing of the shared parts.
+	preferred *engine
+	// msPerToken is the time to read a token.
+	msPerToken float64
+	// streamMs is the expected duration of the stream.
+	streamMs float64
+	now      clock.Milli
 }
 
-// Pick chooses an engine for a prompt; false if there is none. It takes no place: see
-// [Book.Begin].
-func (bk *Book) Pick(ask Ask, now clock.Milli) (Seat, bool) {
-	bk.forget(now)
-	open := bk.open(ask.Avoid, now)
+// Pick chooses an engine for a prompt; it returns false if there is none. It does not reserve a
+// slot: see [Book.Begin].
+func (plc *Book) Pick(ask Ask, now clock.Milli) (Seat, bool) {
+	plc.expire(now)
+	open := plc.available(ask.Avoid, now)
 	if len(open) == 0 {
 		return Seat{}, false
 	}
-	akd := bk.look(ask, open, now)
+	evl := plc.evaluate(ask, open, now)
 	best, least := open[0], math.Inf(1)
 	for _, eng := range open {
-		if cost := bk.cost(eng, akd); cost < least {
+		if cost := plc.cost(eng, evl); cost < least {
 			best, least = eng, cost
 		}
 	}
-	return bk.seat(best, akd), true
+	return plc.placement(best, evl), true
 }
 
-func (bk *Book) seat(eng *engine, akd asked) Seat {
-	held := akd.heldBy(eng)
-	seat := Seat{
-		Engine: eng.Engine, Wait: clock.Milli(eng.wait(akd.now)), Read: clock.Milli(bk.takes(eng, akd.Prompt.In-held, akd.now)),
-		Streams: int(eng.streams(akd.now)), Held: held,
+func (plc *Book) placement(eng *engine, evl evaluation) Seat {
+	cached := evl.cachedBy(eng)
+	plm := Seat{
+		Engine: eng.Engine, Wait: clock.Milli(eng.queueTime(evl.now)), Read: clock.Milli(plc.readTime(eng, evl.Prompt.In-cached, evl.now)),
+		Streams: int(eng.streams(evl.now)), Held: cached,
 	}
-	if eng.Fetches && akd.by != nil && akd.by != eng && akd.most >= held+fetchLeast {
-		seat.From = akd.by.Addr
+	if eng.Fetches && evl.cachedAt != nil && evl.cachedAt != eng && evl.mostCached >= cached+minFetchTokens {
+		plm.From = evl.cachedAt.Addr
 	}
-	return seat
+	return plm
 }
 
-// look finds what the engines' costs have in common. Where no engine is known to hold any
-// of the prompt, the one that ranks first is taken to: whoever placed before may have sent
+// evaluate derives the values common to all engines. If no engine is known to have a part of the
+// prompt cached, the preferred one is assumed to have the prefix: a previous placer may have sent
 // it there.
-func (bk *Book) look(ask Ask, open []*engine, now clock.Milli) asked {
-	akd := asked{
+func (plc *Book) evaluate(ask Ask, open []*engine, now clock.Milli) evaluation {
+	evl := evaluation{
 		Ask: ask, now: now,
-		token: bk.firsts.slope(guessToken), lasts: float64(ask.Prompt.Out) * bk.lasting(),
+		msPerToken: plc.firstEvent.slope(defaultMsPerToken), streamMs: float64(ask.Prompt.Out) * plc.msPerOutToken(),
 	}
 	name := ask.Prompt.Key()
 	if name == "" {
@@ -135,76 +132,76 @@
 	}
 	hash := xxhash.Sum64String(name)
 	for _, eng := range open {
-		if held := eng.held.tokens(akd.Prompt, eng.Memory); held > akd.most {
-			akd.most, akd.by = held, eng
+		if cached := eng.cache.prefixTokens(evl.Prompt, eng.Memory); cached > evl.mostCached {
+			evl.mostCached, evl.cachedAt = cached, eng
 		}
-		if akd.home == nil || mixed(hash, eng.hash) > mixed(hash, akd.home.hash) {
-			akd.home = eng
+		if evl.preferred == nil || rendezvousRank(hash, eng.idHash) > rendezvousRank(hash, evl.preferred.idHash) {
+			evl.preferred = eng
 		}
 	}
-	if akd.by == nil {
-		akd.most, akd.by = ask.Prompt.Shared(), akd.home
+	if evl.cachedAt == nil {
+		evl.mostCached, evl.cachedAt = ask.Prompt.Shared(), evl.preferred
 	}
-	return akd
+	return evl
 }
 
-// heldBy gives how many tokens of the prompt an engine holds.
-func (akd asked) heldBy(eng *engine) int {
-	if eng == akd.by {
-		return akd.most
+// cachedBy returns the number of the prompt's tokens that an engine has cached.
+func (evl evaluation) cachedBy(eng *engine) int {
+	if eng == evl.cachedAt {
+		return evl.mostCached
 	}
-	return eng.held.tokens(akd.Prompt, eng.Memory)
+	return eng.cache.prefixTokens(evl.Prompt, eng.Memory)
 }
 
-// cost gives what an engine costs a prompt. Of two that cost the same the one that ranks
-// first is taken, so that prompts which share nothing are spread.
-func (bk *Book) cost(eng *engine, akd asked) float64 {
-	held := akd.heldBy(eng)
-	read := bk.takes(eng, akd.Prompt.In-held, akd.now)
-	streams := eng.streams(akd.now)
-	cost := eng.wait(akd.now) + read + delayShare*read*streams
-	if bk.disturbs(eng, akd.Prompt, akd.Gap, akd.now) {
-		cost += pauseCost * bk.weightAt(eng, akd.now)
+// cost returns the cost of a prompt at an engine. Ties go to the preferred engine, so that prompts
+// without shared parts are spread.
+func (plc *Book) cost(eng *engine, evl evaluation) float64 {
+	cached := evl.cachedBy(eng)
+	read := plc.readTime(eng, evl.Prompt.In-cached, evl.now)
+	streams := eng.streams(evl.now)
+	cost := eng.queueTime(evl.now) + read + streamDelayFactor*read*streams
+	if plc.disrupts(eng, evl.Prompt, evl.Gap, evl.now) {
+		cost += pauseCost * plc.relativeSizeAt(eng, evl.now)
 	} else {
-		cost += pauseCost * bk.weight(akd.Prompt) * min(apartTimes*eng.disturbed.expect(akd.lasts, akd.now), 1)
+		cost += pauseCost * plc.relativeSize(evl.Prompt) * min(disruptionFactor*eng.disruptions.expect(evl.streamMs, evl.now), 1)
 	}
-	missing := akd.token * float64(akd.most-held)
+	missing := evl.msPerToken * float64(evl.mostCached-cached)
 	if eng.Fetches {
-		cost += fetchTimes * missing
+		cost += fetchFactor * missing
 	} else {
-		cost += againTimes * missing
+		cost += rereadFactor * missing
 	}
-	if akd.Zone != "" && eng.Zone != akd.Zone {
-		cost += farCost * float64(akd.Bytes) / bytesInMb
+	if evl.Zone != "" && eng.Zone != evl.Zone {
+		cost += remoteCostPerMB * float64(evl.Bytes) / bytesPerMB
 	}
-	if eng != akd.home {
+	if eng != evl.preferred {
 		cost++
 	}
 	return cost
 }
 
-// disturbs tells whether the streams of an engine would pause for too long while it reads
-// a prompt, by the pauses that were seen.
-func (bk *Book) disturbs(eng *engine, prm Prompt, gap, now clock.Milli) bool {
-	return gap > 0 && bk.pauses.at(prm.In, 0)*eng.slow.now(now) > pauseShare*float64(gap)
+// disrupts reports whether streams of an engine would exceed the maximum gap while it reads a
+// prompt, by the measured pauses.
+func (plc *Book) disrupts(eng *engine, prm Prompt, gap, now clock.Milli) bool {
+	return gap > 0 && plc.pauses.at(prm.In, 0)*eng.slow.current(now) > pauseMargin*float64(gap)
 }
 
-// takes gives the time in which an engine reads so many tokens.
-func (bk *Book) takes(eng *engine, tokens int, now clock.Milli) float64 {
-	return eng.slow.now(now) * bk.firsts.at(tokens, guessFixed+guessToken*float64(tokens))
+// readTime returns the time in which an engine reads so many tokens.
+func (plc *Book) readTime(eng *engine, tokens int, now clock.Milli) float64 {
+	return eng.slow.current(now) * plc.firstEvent.at(tokens, defaultFixedMs+defaultMsPerToken*float64(tokens))
 }
 
-// open lists the engines that may be taken: those that are well and have place, or, if there
-// are none, those that are well, or else whatever doesn't leave.
-func (bk *Book) open(avoid []string, now clock.Milli) []*engine {
-	var free, well, ill []*engine
-	for _, eng := range bk.list {
+// available returns the engines to choose from: healthy ones with a free slot, or else healthy
+// ones, or else all that are not leaving.
+func (plc *Book) available(avoid []string, now clock.Milli) []*engine {
+	var free, full, ejected []*engine
+	for _, eng := range plc.list {
 		switch {
 		case eng.Leaving || slices.Contains(avoid, eng.ID):
-		case now < eng.benched || eng.benched > 0 && eng.probing:
-			ill = append(ill, eng)
-		case eng.Places > 0 && eng.streams(now) >= float64(eng.Places), eng.Memory > 0 && eng.tokens() > eng.Memory:
-			well = append(well, eng)
+		case now < eng.ejectedUntil || eng.ejectedUntil > 0 && eng.probing:
+			ejected = append(ejected, eng)
+		case eng.Places > 0 && eng.streams(now) >= float64(eng.Places), eng.Memory > 0 && eng.memoryNeed() > eng.Memory:
+			full = append(full, eng)
 		default:
 			free = append(free, eng)
 		}
@@ -212,17 +209,16 @@
 	switch {
 	case len(free) > 0:
 		return free
-	case len(well) > 0:
-		return well
+	case len(full) > 0:
+		return full
 	}
-	return ill
+	return ejected
 }
 
-// mixed gives the rank of an engine for a prompt from the hashes of both, by the
-// finalizer of SplitMix64 (G. Steele and others, "Fast splittable pseudorandom number
-// generators", 2014). Hashing the two names together for each engine took 2.5 ms with
-// 1,600 engines.
-func mixed(prompt, engine uint64) uint64 {
+// rendezvousRank combines the hashes of a prompt and an engine by the finalizer of SplitMix64 (G.
+// Steele and others, "Fast splittable pseudorandom number generators", 2014). Hashing the two names
+// together for each engine took 2.5 ms with 1,600 engines.
+func rendezvousRank(prompt, engine uint64) uint64 {
 	val := prompt ^ engine
 	val = (val ^ val>>30) * 0xbf58476d1ce4e5b9
 	val = (val ^ val>>27) * 0x94d049bb133111eb
--- a/pkg/place/place.go
+++ b/pkg/place/place.go
@@ -9,36 +9,37 @@
 )
 
 const (
-	// wordHalf is the age at which an engine's own word on its load counts half.
-	wordHalf = 500.0
-	// failuresToBench in a row take an engine out for benchFor, doubled with
-	// each further one up to maxBench.
-	failuresToBench = 2
-	benchFor        = clock.Second
-	maxBench        = 8 * clock.Second
-	// lastsGuess is how long a stream lasts for each token that it may make, in milliseconds,
-	// before that was measured; lastsShare is the weight of a new measurement.
-	lastsGuess = 2.0
-	lastsShare = 0.05
-	// sizeShare is the weight of a new request in the mean size.
-	sizeShare = 0.01
-	// lostAfter is how long a request is counted that was heard nothing of: the word on
-	// its end was lost, or whoever sent it ended.
-	lostAfter = 30 * clock.Second
+	// reportHalfLife is the age in milliseconds at which the load reported by an engine counts
+	// half.
+	reportHalfLife = 500.0
+	// failuresToEject consecutive failures eject an engine for minEject, doubled with each further
+	// one up to maxEject.
+	failuresToEject = 2
+	minEject        = clock.Second
+	maxEject        = 8 * clock.Second
+	// defaultStreamMs is the duration of a stream per token of its limit, in milliseconds, before
+	// any was measured; streamMsWeight is the weight of a new measurement.
+	defaultStreamMs = 2.0
+	streamMsWeight  = 0.05
+	// sizeWeight is the weight of a new request in the mean size.
+	sizeWeight = 0.01
+	// runTTL is how long after its start a request counts if no end is recorded: the message of its
+	// end was lost, or its sender crashed.
+	runTTL = 30 * clock.Second
 )
 
 // Engine is a model engine.
 type Engine struct {
-	// ID names one run of the engine, from its start to its end.
+	// ID identifies one process of the engine, from start to exit.
 	ID      string
 	Addr    string
 	Zone    string
 	Leaving bool
-	// Places is how many requests it runs at once, Memory the tokens that these and
-	// cached prompts share; zero for no bound.
+	// Places is the number of concurrent requests, Memory the tokens that these and the prefix
+	// cache share; zero for no bound.
 	Places int
 	Memory int
-	// Fetches tells that it can fetch parts of prompts from other engines.
+	// Fetches reports whether it can fetch cached parts from other engines.
 	Fetches bool
 }
 
@@ -47,66 +48,67 @@
 	ticket string
 	eng    *engine
 	prompt Prompt
-	// read are the tokens that have to be read, takes the time that it is expected to
-	// take the engine.
-	read  int
-	takes float64
-	// begun tells that its first event came.
-	begun bool
-	// alone tells that no other prompt was read at the engine since it was sent there.
-	alone bool
-	// beside is the longest prompt that was read at the engine since it began.
-	beside int
-	sent   clock.Milli
-	began  clock.Milli
+	// readTokens is the number of uncached tokens of the prompt, readMs the expected time to read
+	// them.
+	readTokens int
+	readMs     float64
+	// streaming is set once its first event came.
+	streaming bool
+	// uncontended is set while no other prompt was waiting or being read at the engine since it was
+	// sent there.
+	uncontended bool
+	// overlapTokens is the length of the longest prompt read at the engine since its first event.
+	overlapTokens int
+	sentAt        clock.Milli
+	firstAt       clock.Milli
 }
 
-// engine is what is known of one engine.
+// engine is the state of an engine.
 type engine struct {
 	Engine
-	// hash is that of its name.
-	hash uint64
-	// runs are the requests there, in the order in which they were sent.
+	// idHash is the hash of its ID.
+	idHash uint64
+	// runs are the known requests, in the order in which they were sent.
 	runs []*run
-	// others are requests that the engine has by its own word beyond these.
-	others float64
-	saidAt clock.Milli
-	// headSince is since when it reads the first of its runs that hasn't begun.
+	// foreignRuns are requests that the engine reported beyond these, at reportedAt.
+	foreignRuns float64
+	reportedAt  clock.Milli
+	// headSince is when it began to read the first run that is not streaming.
 	headSince clock.Milli
-	held      held
-	// disturbed tells how often prompts come that make the streams there late.
-	disturbed frequency
-	slow      slowness
-	failures  int
-	benched   clock.Milli
-	probing   bool
+	cache     prefixCache
+	// disruptions is how often prompts arrive that make its streams late.
+	disruptions  frequency
+	slow         slowness
+	failures     int
+	ejectedUntil clock.Milli
+	probing      bool
 }
 
-// Book is what an instance knows of the engines of a pool. The zero value is an
-// empty pool. It is not safe for concurrent use.
+// Book is the placer of a pool of engines. The zero value is an empty pool. It is not safe for
+// concurrent use.
 type Book struct {
 	list []*engine
 	byID map[string]*engine
 	runs map[string]*run
-	// firsts is the time to a first event by the tokens to read, for requests that were
-	// alone; pauses the longest pause of a stream by the longest prompt that came beside it.
-	firsts curve
-	pauses curve
-	// lasts is how long streams last, in milliseconds for each token that they may make.
-	lasts float64
-	// size is the mean size of requests.
-	size float64
+	// firstEvent is the time to the first event by uncached tokens, from uncontended requests;
+	// pauses is the longest pause of a stream by the longest prompt read beside it.
+	firstEvent curve
+	pauses     curve
+	// streamMs is the mean duration of streams per token of their limit, in milliseconds.
+	streamMs float64
+	// meanSize is the mean size of requests.
+	meanSize float64
 }
 
-// Sync makes the book hold just these engines; what is known of those that stay
-// is kept. One that was heard to be leaving stays so.
-func (bk *Book) Sync(list []Engine) {
+// Sync replaces the list of engines; the state of those that remain is kept. An engine once marked
+// as leaving stays so.
+func (plc *Book) Sync(list []Engine) {
 	byID := make(map[string]*engine, len(list))
 	all := make([]*engine, 0, len(list))
 	for _, eng := range list {
-		cur, ok := bk.byID[eng.ID]
+		cur, ok := plc.byID[eng.ID]
 		if !ok {
-			cur = &engine{hash: xxhash.Sum64String(eng.ID)}
+			cur = &engine{idHash: xxhash.Sum64String(eng.ID)}
 		}
 		leaving := cur.Leaving || eng.Leaving
 		cur.Engine = eng
@@ -114,220 +116,219 @@
 		byID[eng.ID] = cur
 		all = append(all, cur)
 	}
-	bk.list, bk.byID = all, byID
+	plc.list, plc.byID = all, byID
 }
 
-// Len gives the number of engines.
-func (bk *Book) Len() int { return len(bk.list) }
+// Len returns the number of engines.
+func (plc *Book) Len() int { return len(plc.list) }
 
-// Find gives an engine by its name.
-func (bk *Book) Find(id string) (Engine, bool) {
-	eng, ok := bk.byID[id]
+// Find returns an engine by its ID.
+func (plc *Book) Find(id string) (Engine, bool) {
+	eng, ok := plc.byID[id]
 	if !ok {
 		return Engine{}, false
 	}
 	return eng.Engine, true
 }
 
-// Usable tells whether an engine may still be sent work.
-func (bk *Book) Usable(id string, now clock.Milli) bool {
-	eng, ok := bk.byID[id]
-	return ok && !eng.Leaving && now >= eng.benched
+// Usable reports whether an engine is known, not leaving and not ejected.
+func (plc *Book) Usable(id string, now clock.Milli) bool {
+	eng, ok := plc.byID[id]
+	return ok && !eng.Leaving && now >= eng.ejectedUntil
 }
 
-// Full tells whether all places of an engine are taken, as far as is known.
-func (bk *Book) Full(id string, now clock.Milli) bool {
-	eng, ok := bk.byID[id]
+// Full reports whether all known slots of an engine are busy.
+func (plc *Book) Full(id string, now clock.Milli) bool {
+	eng, ok := plc.byID[id]
 	return ok && eng.Places > 0 && eng.streams(now) >= float64(eng.Places)
 }
 
-// Begin notes that a request was sent to an engine; ticket names it in what follows. gap is
-// the longest pause of streams that is on time there.
-func (bk *Book) Begin(id, ticket string, prm Prompt, gap, now clock.Milli) {
-	eng, ok := bk.byID[id]
+// Begin records that a request was sent to an engine; ticket identifies it in later calls. gap is
+// the maximum gap of streams there.
+func (plc *Book) Begin(id, ticket string, prm Prompt, gap, now clock.Milli) {
+	eng, ok := plc.byID[id]
 	if !ok {
 		return
 	}
-	read := max(prm.In-eng.held.tokens(prm, eng.Memory), 1)
-	rn := &run{ticket: ticket, eng: eng, prompt: prm, read: read, takes: bk.takes(eng, read, now), sent: now, alone: true}
+	read := max(prm.In-eng.cache.prefixTokens(prm, eng.Memory), 1)
+	rn := &run{ticket: ticket, eng: eng, prompt: prm, readTokens: read, readMs: plc.readTime(eng, read, now), sentAt: now, uncontended: true}
 	for _, oth := range eng.runs {
-		if !oth.begun {
-			oth.alone, rn.alone = false, false
+		if !oth.streaming {
+			oth.uncontended, rn.uncontended = false, false
 		}
 	}
-	if rn.alone {
+	if rn.uncontended {
 		eng.headSince = now
 	}
-	if bk.disturbs(eng, prm, gap, now) {
-		eng.disturbed.note(now)
+	if plc.disrupts(eng, prm, gap, now) {
+		eng.disruptions.record(now)
 	}
-	if bk.size == 0 {
-		bk.size = prm.size()
+	if plc.meanSize == 0 {
+		plc.meanSize = prm.size()
 	}
-	bk.size += sizeShare * (prm.size() - bk.size)
+	plc.meanSize += sizeWeight * (prm.size() - plc.meanSize)
 	eng.runs = append(eng.runs, rn)
-	eng.probing = eng.benched > 0
-	eng.held.use(prm.shared(), read+prm.Out)
-	if bk.runs == nil {
-		bk.runs = map[string]*run{}
+	eng.probing = eng.ejectedUntil > 0
+	eng.cache.add(prm.shared(), read+prm.Out)
+	if plc.runs == nil {
+		plc.runs = map[string]*run{}
 	}
-	bk.runs[ticket] = rn
+	plc.runs[ticket] = rn
 }
 
-// First notes that a request's first event came, and how long after it was sent.
-func (bk *Book) First(ticket string, took, now clock.Milli) {
-	rn, ok := bk.runs[ticket]
-	if !ok || rn.begun {
+// First records the first event of a request, and its time since the request was sent.
+func (plc *Book) First(ticket string, took, now clock.Milli) {
+	rn, ok := plc.runs[ticket]
+	if !ok || rn.streaming {
 		return
 	}
-	rn.begun, rn.began = true, now
+	rn.streaming, rn.firstAt = true, now
 	rn.eng.headSince = now
 	for _, oth := range rn.eng.runs {
-		if oth.begun && oth != rn {
-			oth.beside = max(oth.beside, rn.prompt.In)
+		if oth.streaming && oth != rn {
+			oth.overlapTokens = max(oth.overlapTokens, rn.prompt.In)
 		}
 	}
-	if !rn.alone {
+	if !rn.uncontended {
 		return
 	}
-	if usual := bk.firsts.at(rn.read, 0); usual > 0 {
+	if usual := plc.firstEvent.at(rn.readTokens, 0); usual > 0 {
 		rn.eng.slow.sample(float64(took)/usual, now)
 	}
-	bk.firsts.sample(rn.read, float64(took))
+	plc.firstEvent.sample(rn.readTokens, float64(took))
 }
 
-// Ending tells how a request at an engine ended.
+// Ending is how a request at an engine ended.
 type Ending int
 
-// The endings.
+// Endings of a request.
 const (
 	// Well: the engine answered.
 	Well Ending = iota
-	// Ill: the engine failed it.
+	// Ill: the engine failed the request.
 	Ill
-	// Untold: it tells nothing of the engine's health.
+	// Untold: the ending says nothing about the engine's health.
 	Untold
 )
 
-// End notes the end of a request, and the longest pause between events of its answer.
-func (bk *Book) End(ticket string, end Ending, pause, now clock.Milli) {
-	rn, ok := bk.runs[ticket]
+// End records the end of a request, and the longest pause between events of its answer.
+func (plc *Book) End(ticket string, end Ending, pause, now clock.Milli) {
+	rn, ok := plc.runs[ticket]
 	if !ok {
 		return
 	}
 	eng := rn.eng
-	bk.drop(rn, now)
+	plc.remove(rn, now)
 	eng.probing = false
 	if end == Well {
-		eng.failures, eng.benched = 0, 0
-		if rn.begun && rn.prompt.Out > 0 {
-			bk.lasts = bk.lasting() + lastsShare*(float64(now-rn.began)/float64(rn.prompt.Out)-bk.lasting())
+		eng.failures, eng.ejectedUntil = 0, 0
+		if rn.streaming && rn.prompt.Out > 0 {
+			plc.streamMs = plc.msPerOutToken() + streamMsWeight*(float64(now-rn.firstAt)/float64(rn.prompt.Out)-plc.msPerOutToken())
 		}
-		if rn.beside > 0 && pause > 0 {
-			bk.pauses.sample(rn.beside, float64(pause)/eng.slow.now(now))
+		if rn.overlapTokens > 0 && pause > 0 {
+			plc.pauses.sample(rn.overlapTokens, float64(pause)/eng.slow.current(now))
 		}
 	}
 	if end != Ill {
 		return
 	}
-	if eng.failures++; eng.failures >= failuresToBench {
-		eng.benched = now + min(benchFor<<min(eng.failures-failuresToBench, 5), maxBench)
+	if eng.failures++; eng.failures >= failuresToEject {
+		eng.ejectedUntil = now + min(minEject<<min(eng.failures-failuresToEject, 5), maxEject)
 	}
 }
 
-// drop takes a request out.
-func (bk *Book) drop(rn *run, now clock.Milli) {
-	delete(bk.runs, rn.ticket)
+func (plc *Book) remove(rn *run, now clock.Milli) {
+	delete(plc.runs, rn.ticket)
 	rn.eng.runs = slices.DeleteFunc(rn.eng.runs, func(oth *run) bool { return oth == rn })
-	if !rn.begun {
+	if !rn.streaming {
 		rn.eng.headSince = now
 	}
 }
 
-// forget drops requests of which nothing was heard for too long.
-func (bk *Book) forget(now clock.Milli) {
-	for _, rn := range bk.runs {
-		if now-rn.sent > lostAfter {
-			bk.drop(rn, now)
+// expire removes requests whose end was not recorded within runTTL.
+func (plc *Book) expire(now clock.Milli) {
+	for _, rn := range plc.runs {
+		if now-rn.sentAt > runTTL {
+			plc.remove(rn, now)
 		}
 	}
 }
 
-// Holds notes what an engine said that it holds of prompts.
-func (bk *Book) Holds(id string, parts []Part) {
-	if eng, ok := bk.byID[id]; ok {
-		eng.held.use(parts, 0)
+// Holds records the parts that an engine reports as cached.
+func (plc *Book) Holds(id string, parts []Part) {
+	if eng, ok := plc.byID[id]; ok {
+		eng.cache.add(parts, 0)
 	}
 }
 
-// Said notes an engine's own word: requests running and waiting there, of all
-// instances.
-func (bk *Book) Said(id string, load int, now clock.Milli) {
-	if eng, ok := bk.byID[id]; ok {
-		eng.others, eng.saidAt = max(0, float64(load-len(eng.runs))), now
+// Said records the load that an engine reports: its running and waiting requests, of all instances.
+func (plc *Book) Said(id string, load int, now clock.Milli) {
+	if eng, ok := plc.byID[id]; ok {
+		eng.foreignRuns, eng.reportedAt = max(0, float64(load-len(eng.runs))), now
 	}
 }
 
-// Leave notes that an engine is leaving.
-func (bk *Book) Leave(id string) {
-	if eng, ok := bk.byID[id]; ok {
+// Leave marks an engine as leaving.
+func (plc *Book) Leave(id string) {
+	if eng, ok := plc.byID[id]; ok {
 		eng.Leaving = true
 	}
 }
 
-// lasting gives how long a stream lasts for each token that it may make.
-func (bk *Book) lasting() float64 {
-	if bk.lasts == 0 {
-		return lastsGuess
+// msPerOutToken returns the duration of a stream per token of its limit.
+func (plc *Book) msPerOutToken() float64 {
+	if plc.streamMs == 0 {
+		return defaultStreamMs
 	}
-	return bk.lasts
+	return plc.streamMs
 }
 
-// weight gives the size of a request against the mean.
-func (bk *Book) weight(prm Prompt) float64 {
-	if bk.size == 0 {
+// relativeSize returns the size of a request divided by the mean.
+func (plc *Book) relativeSize(prm Prompt) float64 {
+	if plc.meanSize == 0 {
 		return 1
 	}
-	return min(prm.size()/bk.size, sizeMost)
+	return min(prm.size()/plc.meanSize, maxRelativeSize)
 }
 
-// weightAt gives the sizes of all requests at an engine against the mean. Those that are
-// known by the engine's word alone count as of mean size.
-func (bk *Book) weightAt(eng *engine, now clock.Milli) float64 {
+// relativeSizeAt returns the sum of the relative sizes of the requests at an engine. Those known
+// only from the engine's report count as of mean size.
+func (plc *Book) relativeSizeAt(eng *engine, now clock.Milli) float64 {
 	sum := eng.streams(now) - float64(len(eng.runs))
 	for _, rn := range eng.runs {
-		sum += bk.weight(rn.prompt)
+		sum += plc.relativeSize(rn.prompt)
 	}
 	return sum
 }
 
-// streams gives the requests at an engine.
+// streams returns the number of requests at an engine, reported ones weighted by age.
 func (eng *engine) streams(now clock.Milli) float64 {
-	age := float64(max(now-eng.saidAt, 0))
-	return float64(len(eng.runs)) + eng.others*wordHalf/(wordHalf+age)
+	age := float64(max(now-eng.reportedAt, 0))
+	return float64(len(eng.runs)) + eng.foreignRuns*reportHalfLife/(reportHalfLife+age)
 }
 
-// wait gives how long a prompt that comes now waits until it is read. The first one that is
-// overdue is taken to need as long again: an engine that takes prompts and begins none would
-// otherwise look idle.
-func (eng *engine) wait(now clock.Milli) float64 {
+// queueTime returns how long a prompt that arrives now waits until the engine starts to read it. A
+// first prompt that is overdue by some time is expected to take that time again: otherwise an
+// engine that accepts prompts and starts none would look idle.
+func (eng *engine) queueTime(now clock.Milli) float64 {
 	sum, first := 0.0, true
 	for _, rn := range eng.runs {
-		if rn.begun {
+		if rn.streaming {
 			continue
 		}
 		if first {
 			since := float64(now - eng.headSince)
-			sum, first = max(rn.takes-since, since-rn.takes), false
+			sum, first = max(rn.readMs-since, since-rn.readMs), false
 			continue
 		}
-		sum += rn.takes
+		sum += rn.readMs
 	}
 	return sum
 }
 
-// tokens gives the memory that the requests at an engine may come to need.
-func (eng *engine) tokens() int {
+// memoryNeed returns the largest number of tokens that the requests at an engine may need in
+// memory.
+func (eng *engine) memoryNeed() int {
 	sum := 0
 	for _, rn := range eng.runs {
 		sum += rn.prompt.In + rn.prompt.Out
--- a/pkg/place/prompt.go
+++ b/pkg/place/prompt.go
@@ -2,22 +2,22 @@
 
 import "strconv"
 
-// Part is one part of a prompt.
+// Part is a part of a prompt.
 type Part struct {
 	ID     string `cbor:"1,keyasint"`
 	Tokens int    `cbor:"2,keyasint"`
 }
 
-// Prompt is what a request asks a model engine to read and make.
+// Prompt describes what a model engine has to read and generate for a request.
 type Prompt struct {
-	// Parts are in order; the last is the request's own.
+	// Parts are in order; the last one is the request's own, the others may be shared.
 	Parts []Part `cbor:"1,keyasint,omitempty"`
-	// In and Out are the tokens to read, and to make at the most.
+	// In is the number of tokens to read, Out the limit of tokens to generate.
 	In  int `cbor:"2,keyasint,omitempty"`
 	Out int `cbor:"3,keyasint,omitempty"`
 }
 
-// Key names the shared parts; empty if nothing is shared.
+// Key identifies the shared parts; it is empty if there are none.
 func (prm Prompt) Key() string {
 	key := ""
 	for _, prt := range prm.shared() {
@@ -28,7 +28,7 @@
 
 func (prm Prompt) shared() []Part { return prm.Parts[:max(len(prm.Parts)-1, 0)] }
 
-// Shared gives the tokens of the shared parts.
+// Shared returns the number of tokens in the shared parts.
 func (prm Prompt) Shared() int {
 	sum := 0
 	for _, prt := range prm.shared() {
@@ -37,8 +37,9 @@
 	return sum
 }
 
-// madeWeight is how many tokens that are read take an engine as long as one that it makes.
-const madeWeight = 10
+// outTokenWeight is the number of tokens that an engine reads in the time in which it generates
+// one.
+const outTokenWeight = 10
 
-// size is the work on a request as a whole, in tokens read.
-func (prm Prompt) size() float64 { return float64(prm.In + madeWeight*prm.Out) }
+// size is the work of a request in tokens read.
+func (prm Prompt) size() float64 { return float64(prm.In + outTokenWeight*prm.Out) }
