--- a/pkg/graph/graph.go
+++ b/pkg/graph/graph.go
@@ -7,61 +7,60 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// Graph tells which stages take the results of which. Stages are numbered from 0. The
-// zero value has no stages. It is never changed and may be shared.
+// Graph is the dependency graph of stages, numbered from 0. The zero value has no stages. It is
+// immutable and may be shared.
 type Graph struct {
-	after [][]int
-	next  [][]int
-	// order has each stage behind all that it takes.
-	order []int
+	after     [][]int
+	consumers [][]int
+	// topo lists the stages in topological order.
+	topo []int
 }
 
-// New returns the graph of stages whose results each one takes. It fails for a stage
-// that there isn't, and for stages that wait for one another in a circle.
+// New returns the graph in which stage i takes the results of the stages after[i]. It fails for
+// stages that do not exist and for cycles.
 func New(after [][]int) (Graph, error) {
-	gr := Graph{after: after, next: make([][]int, len(after))}
+	gr := Graph{after: after, consumers: make([][]int, len(after))}
 	missing := make([]int, len(after))
 	for stg, pres := range after {
 		for _, pre := range pres {
 			if pre < 0 || pre >= len(after) {
-				return Graph{}, fmt.Errorf("stage %d takes results of stage %d, which there isn't", stg, pre)
+				return Graph{}, fmt.Errorf("stage %d takes results of stage %d, which does not exist", stg, pre)
 			}
-			gr.next[pre] = append(gr.next[pre], stg)
+			gr.consumers[pre] = append(gr.consumers[pre], stg)
 		}
 		missing[stg] = len(pres)
 	}
 	for stg, count := range missing {
 		if count == 0 {
-			gr.order = append(gr.order, stg)
+			gr.topo = append(gr.topo, stg)
 		}
 	}
-	for i := 0; i < len(gr.order); i++ {
-		for _, nxt := range gr.next[gr.order[i]] {
+	for i := 0; i < len(gr.topo); i++ {
+		for _, nxt := range gr.consumers[gr.topo[i]] {
 			if missing[nxt]--; missing[nxt] == 0 {
-				gr.order = append(gr.order, nxt)
+				gr.topo = append(gr.topo, nxt)
 			}
 		}
 	}
-	if len(gr.order) < len(after) {
-		return Graph{}, fmt.Errorf("%d stages wait for one another in a circle", len(after)-len(gr.order))
+	if len(gr.topo) < len(after) {
+		return Graph{}, fmt.Errorf("%d stages depend on one another in a circle", len(after)-len(gr.topo))
 	}
 	return gr, nil
 }
 
-// Len gives the number of stages.
+// Len returns the number of stages.
 func (gr Graph) Len() int { return len(gr.after) }
 
-// After lists the stages whose results a stage takes.
+// After returns the stages whose results a stage takes.
 func (gr Graph) After(stg int) []int { return gr.after[stg] }
 
-// IsLeaf tells whether no other stage takes a stage's results, so that the final call
-// does.
-func (gr Graph) IsLeaf(stg int) bool { return len(gr.next[stg]) == 0 }
+// IsLeaf reports whether no other stage takes a stage's results, so that only the final call does.
+func (gr Graph) IsLeaf(stg int) bool { return len(gr.consumers[stg]) == 0 }
 
-// alone tells whether a stage takes no results and only the final call takes its own.
-func (gr Graph) alone(stg int) bool { return len(gr.after[stg]) == 0 && gr.IsLeaf(stg) }
+// independent reports whether a stage takes no results and only the final call takes its own.
+func (gr Graph) independent(stg int) bool { return len(gr.after[stg]) == 0 && gr.IsLeaf(stg) }
 
-// Leaves lists the stages whose results the final call takes.
+// Leaves returns the stages whose results the final call takes.
 func (gr Graph) Leaves() []int {
 	var last []int
 	for stg := range gr.after {
@@ -72,20 +71,20 @@
 	return last
 }
 
-// Ways gives for each stage the time from its beginning to the end of the longest
-// chain that it heads; span gives what one stage takes.
+// Ways returns for each stage the time of the longest path from its start to the final call; span
+// gives the time of one stage.
 func (gr Graph) Ways(span func(stg int) clock.Milli) []clock.Milli {
-	ways := make([]clock.Milli, len(gr.after))
-	for _, stg := range slices.Backward(gr.order) {
-		for _, nxt := range gr.next[stg] {
-			ways[stg] = max(ways[stg], ways[nxt])
+	times := make([]clock.Milli, len(gr.after))
+	for _, stg := range slices.Backward(gr.topo) {
+		for _, nxt := range gr.consumers[stg] {
+			times[stg] = max(times[stg], times[nxt])
 		}
-		ways[stg] += span(stg)
+		times[stg] += span(stg)
 	}
-	return ways
+	return times
 }
 
-// Longest gives the time of the longest chain.
+// Longest returns the time of the critical path.
 func (gr Graph) Longest(span func(stg int) clock.Milli) clock.Milli {
 	if len(gr.after) == 0 {
 		return 0
--- a/pkg/graph/graph_test.go
+++ b/pkg/graph/graph_test.go
@@ -11,14 +11,14 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// chat is a chain of three stages beside a leaf of its own.
+// chat is a chain of three stages and an independent leaf.
 func chat(t *testing.T) Graph {
 	gr, err := New([][]int{{}, {}, {1}, {2}})
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
 	return gr
 }
 
-func all(int) bool { return false }
+func none(int) bool { return false }
 
 func ExampleGraph_Run() {
 	gr, _ := New([][]int{{}, {0}})
@@ -28,9 +28,9 @@
 	// Output: [0] [] [1] [0] true
 }
 
-// TestFaulty: a circle and a stage that there isn't are told; a stage may take results
-// of one with a higher number.
-func TestFaulty(t *testing.T) {
+// TestInvalidGraphs: New rejects cycles and stages that do not exist; a stage may take results of
+// one with a higher number.
+func TestInvalidGraphs(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	for _, after := range [][][]int{{{1}, {0}}, {{0}}, {{}, {7}}, {{-1}}} {
 		_, err := New(after)
@@ -42,51 +42,50 @@
 	gom.Expect(gr.Longest(func(int) clock.Milli { return 10 })).To(gomega.Equal(clock.Milli(20)))
 }
 
-// TestLeafIsHeld: a leaf's results would take room while a chain beside it is made. It
-// is held as long as the chain that has not begun takes longer than it does, and
-// begins sooner when its own pool is crowded.
-func TestLeafIsHeld(t *testing.T) {
+// TestLeafStartIsDelayed: the results of a leaf would occupy storage while the chain beside it
+// runs. The leaf is delayed while the rest of the chain takes at least as long as the leaf, and
+// starts sooner when its own pool is contended.
+func TestLeafStartIsDelayed(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	even := func(int) clock.Milli { return 300 }
-	run := chat(t).Run(all)
+	run := chat(t).Run(none)
 	gom.Expect(run.Begin(even)).To(gomega.Equal([]int{1}))
 	run.Done(1)
-	gom.Expect(run.Begin(even)).To(gomega.Equal([]int{2}), "stage 3 takes as long and comes later")
+	gom.Expect(run.Begin(even)).To(gomega.Equal([]int{2}), "stage 3 takes as long and starts later")
 	gom.Expect(run.Done(2)).To(gomega.Equal([]int{1}))
 	gom.Expect(run.Begin(even)).To(gomega.Equal([]int{0, 3}))
 
 	crowded := func(stg int) clock.Milli { return []clock.Milli{500, 300, 300, 300}[stg] }
-	run = chat(t).Run(all)
+	run = chat(t).Run(none)
 	gom.Expect(run.Begin(crowded)).To(gomega.Equal([]int{1}))
 	run.Done(1)
-	gom.Expect(run.Begin(crowded)).To(gomega.Equal([]int{0, 2}), "beside stage 3 alone it would be late")
+	gom.Expect(run.Begin(crowded)).To(gomega.Equal([]int{0, 2}), "started beside stage 3 it would be late")
 }
 
-// TestNothingWaitsForStrangers: a stage begins when what it takes is made, though a
-// sister that began with it has not ended. Started in waves, each request waited at
-// each wave for the slowest pool.
-func TestNothingWaitsForStrangers(t *testing.T) {
+// TestStagesWaitOnlyForInputs: a stage starts when its inputs are complete, even if a stage started
+// with them still runs. Started in waves, each request waited at each wave for the slowest pool.
+func TestStagesWaitOnlyForInputs(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	gr, err := New([][]int{{}, {}, {0}, {1}})
 	gom.Expect(err).NotTo(gomega.HaveOccurred())
 	span := func(int) clock.Milli { return 100 }
-	run := gr.Run(all)
+	run := gr.Run(none)
 	gom.Expect(run.Begin(span)).To(gomega.Equal([]int{0, 1}))
 	run.Done(1)
 	gom.Expect(run.Begin(span)).To(gomega.Equal([]int{3}))
 }
 
-// TestWithoutPieces: a stage that a request has no pieces of is no hindrance.
-func TestWithoutPieces(t *testing.T) {
+// TestSkippedStage: a skipped stage does not block the stages that take its results.
+func TestSkippedStage(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	run := chat(t).Run(func(stg int) bool { return stg == 1 })
 	gom.Expect(run.Begin(func(int) clock.Milli { return 100 })).To(gomega.Equal([]int{2}))
 }
 
-// TestRunsEnd draws graphs, times and the order in which stages end. Each stage begins
-// once, never before what it takes is made, something is always under way until all
-// is done, and results are given up once, when nobody takes them any more.
-func TestRunsEnd(t *testing.T) {
+// TestRunsFinish draws graphs, times and the order in which stages are done. Each stage starts once
+// and never before its inputs are complete, some stage is always running until the run is finished,
+// and results are released once, when no stage takes them any more.
+func TestRunsFinish(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 8).Draw(t, "stages")
 		after := make([][]int, count)
@@ -112,24 +111,24 @@
 			for _, stg := range run.Begin(func(int) clock.Milli { return clock.Milli(rapid.IntRange(0, 500).Draw(t, "span")) }) {
 				for _, pre := range after[stg] {
 					if !over[pre] && !skipped[pre] {
-						t.Fatalf("stage %d began before stage %d", stg, pre)
+						t.Fatalf("stage %d started before stage %d was done", stg, pre)
 					}
 				}
 				under = append(under, stg)
 			}
 			if len(under) == 0 {
-				t.Fatalf("nothing is under way")
+				t.Fatalf("no stage is running and the run is not finished")
 			}
 			i := rapid.IntRange(0, len(under)-1).Draw(t, "ends")
 			stg := under[i]
 			under = slices.Delete(under, i, i+1)
 			if over[stg] {
-				t.Fatalf("stage %d began twice", stg)
+				t.Fatalf("stage %d started twice", stg)
 			}
 			over[stg] = true
 			for _, pre := range run.Done(stg) {
 				if given[pre] || gr.IsLeaf(pre) {
-					t.Fatalf("results of stage %d given up", pre)
+					t.Fatalf("results of stage %d were released twice or are taken by the final call", pre)
 				}
 				given[pre] = true
 			}
@@ -137,9 +136,9 @@
 	})
 }
 
-// TestLostInputs: the inputs of a stage are gone, for their maker died. The stages that
-// made them begin once more, and what these take too unless it is still held; the stage
-// itself begins after them. Sisters that are done stay so.
+// TestLostInputs: the inputs of a stage are lost because their endpoint crashed. The stages that
+// produced them run again, as do those before them whose results are no longer stored; the stage
+// itself starts after them. Other finished stages are kept.
 func TestLostInputs(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	even := func(int) clock.Milli { return 300 }
@@ -153,7 +152,7 @@
 		return run
 	}
 	run := begun()
-	gom.Expect(run.Undo(3, all)).To(gomega.Equal([]int{2, 1}))
+	gom.Expect(run.Undo(3, none)).To(gomega.Equal([]int{2, 1}))
 	for _, stg := range []int{1, 2, 3} {
 		gom.Expect(run.Begin(even)).To(gomega.Equal([]int{stg}))
 		run.Done(stg)
@@ -166,14 +165,14 @@
 	gom.Expect(run.Begin(even)).To(gomega.Equal([]int{2}))
 }
 
-// TestLastToTake: two stages take the results of one. Only the second of them to be done
-// is the last that takes them.
-func TestLastToTake(t *testing.T) {
+// TestLastConsumer: two stages take the results of one. Only the second of them to be done is the
+// last consumer.
+func TestLastConsumer(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	gr, err := New([][]int{{}, {0}, {0}})
 	gom.Expect(err).NotTo(gomega.HaveOccurred())
 	span := func(int) clock.Milli { return 100 }
-	run := gr.Run(all)
+	run := gr.Run(none)
 	run.Begin(span)
 	run.Done(0)
 	gom.Expect(run.Begin(span)).To(gomega.Equal([]int{1, 2}))
--- a/pkg/graph/run.go
+++ b/pkg/graph/run.go
@@ -6,44 +6,44 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// state is how far a stage is.
+// state is the progress of a stage.
 type state int
 
 const (
 	pending state = iota
-	begun
+	running
 	done
 )
 
-// Run is one request's way through a graph. It is made by [Graph.Run] and not safe for
+// Run is the execution of a graph for one request. It is made by [Graph.Run] and not safe for
 // concurrent use.
 type Run struct {
 	gr     Graph
 	states []state
-	// without tells of each stage whether it is left out.
-	without []bool
+	// skipped marks the stages that are left out.
+	skipped []bool
 }
 
-// Run returns a run in which nothing has begun. Stages without pieces are left out:
-// whoever takes their results takes none.
-func (gr Graph) Run(without func(stg int) bool) *Run {
-	run := &Run{gr: gr, states: make([]state, gr.Len()), without: make([]bool, gr.Len())}
+// Run returns a run in which no stage has started. Skipped stages have no items and count as done,
+// without results.
+func (gr Graph) Run(skipped func(stg int) bool) *Run {
+	run := &Run{gr: gr, states: make([]state, gr.Len()), skipped: make([]bool, gr.Len())}
 	for stg := range run.states {
-		if without(stg) {
-			run.states[stg], run.without[stg] = done, true
+		if skipped(stg) {
+			run.states[stg], run.skipped[stg] = done, true
 		}
 	}
 	return run
 }
 
-// Over tells whether all stages are done.
+// Over reports whether all stages are done.
 func (run *Run) Over() bool {
 	return !slices.ContainsFunc(run.states, func(st state) bool { return st != done })
 }
 
-// Begin gives the stages that begin now, and notes that they have; span gives what a
-// stage that begins now would take, waiting included. While the run isn't over and
-// nothing is under way it gives at least one.
+// Begin returns the stages to start now and marks them as running; span estimates the time of a
+// stage started now, including its wait. It returns at least one stage unless the run is finished
+// or a stage is running.
 func (run *Run) Begin(span func(stg int) clock.Milli) []int {
 	var ready []int
 	for stg, st := range run.states {
@@ -51,76 +51,75 @@
 			ready = append(ready, stg)
 		}
 	}
-	ways := run.gr.Ways(func(stg int) clock.Milli {
+	times := run.gr.Ways(func(stg int) clock.Milli {
 		if run.states[stg] == done {
 			return 0
 		}
 		return span(stg)
 	})
-	longest := run.longestToCome(ready, ways)
+	longest := run.longestBlocked(ready, times)
 	starts := slices.DeleteFunc(slices.Clone(ready), func(stg int) bool {
-		return run.gr.alone(stg) && longest >= ways[stg] && longest > 0
+		return run.gr.independent(stg) && longest >= times[stg] && longest > 0
 	})
 	for _, stg := range starts {
-		run.states[stg] = begun
+		run.states[stg] = running
 	}
 	return starts
 }
 
-// longestToCome gives the longest way of a stage that can't begin yet. When it can,
-// another stage will have been done, and what is held is asked for again.
-func (run *Run) longestToCome(ready []int, ways []clock.Milli) clock.Milli {
+// longestBlocked returns the longest path of a stage that cannot start yet. By the time it can,
+// another stage will be done, and delayed stages are considered again.
+func (run *Run) longestBlocked(ready []int, times []clock.Milli) clock.Milli {
 	longest := clock.Milli(0)
 	for stg, st := range run.states {
 		if st == pending && !slices.Contains(ready, stg) {
-			longest = max(longest, ways[stg])
+			longest = max(longest, times[stg])
 		}
 	}
 	return longest
 }
 
-// Done notes that a stage is done. It gives the stages whose results nobody will take
-// any more; the final call takes those of leaves.
+// Done marks a stage as done and returns the stages whose results no stage will take any more.
+// Results of leaves are not included, since the final call takes them.
 func (run *Run) Done(stg int) []int {
 	run.states[stg] = done
 	var unused []int
 	for _, pre := range run.gr.after[stg] {
-		if run.states[pre] == done && run.allDone(run.gr.next[pre]) {
+		if run.states[pre] == done && run.allDone(run.gr.consumers[pre]) {
 			unused = append(unused, pre)
 		}
 	}
 	return unused
 }
 
-// Last lists the stages whose results a stage is the last one to take: no other stage
-// that isn't done takes them.
+// Last returns the stages whose results only this stage still has to take.
 func (run *Run) Last(stg int) []int {
 	return slices.DeleteFunc(slices.Clone(run.gr.after[stg]), func(pre int) bool {
-		return slices.ContainsFunc(run.gr.next[pre], func(oth int) bool { return oth != stg && run.states[oth] != done })
+		return slices.ContainsFunc(run.gr.consumers[pre], func(oth int) bool { return oth != stg && run.states[oth] != done })
 	})
 }
 
-// Undo takes a stage back that was begun and found its inputs gone, and the stages that
-// must be made again for it: those that it takes, and what these take unless it is still
-// held. It gives the stages that were done and aren't any more.
+// Undo resets a running stage whose inputs were lost, and the stages that must run again for it:
+// those it takes results of and, recursively, their inputs unless held reports their results as
+// still stored. It returns the stages that were done and no longer are.
 func (run *Run) Undo(stg int, held func(stg int) bool) []int {
 	run.states[stg] = pending
 	var lost []int
 	for _, pre := range run.gr.after[stg] {
-		lost = append(lost, run.lose(pre, held)...)
+		lost = append(lost, run.invalidate(pre, held)...)
 	}
 	return lost
 }
 
-func (run *Run) lose(stg int, held func(stg int) bool) []int {
-	if run.states[stg] != done || run.without[stg] {
+func (run *Run) invalidate(stg int, held func(stg int) bool) []int {
+	if run.states[stg] != done || run.skipped[stg] {
 		return nil
 	}
 	run.states[stg] = pending
 	lost := []int{stg}
 	for _, pre := range run.gr.after[stg] {
 		if !held(pre) {
-			lost = append(lost, run.lose(pre, held)...)
+			lost = append(lost, run.invalidate(pre, held)...)
 		}
 	}
 	return lost
