--- a/pkg/gather/fill_test.go
+++ b/pkg/gather/fill_test.go
@@ -11,7 +11,7 @@
 // burst simulates requests of six items that arrive evenly at a pool with batches of sixteen, and
 // returns the number of items that wait after 10 s.
 func burst(endpoints int, perSecond float64) int {
-	sch := newBook(endpoints)
+	sch := newScheduler(endpoints)
 	sch.Set(Spec{Places: 1, Most: 16, Call: 200, Item: 11})
 	ends := map[int64]clock.Milli{}
 	jobs := int64(0)
@@ -39,14 +39,14 @@
 func TestLargePoolsTopUpBatches(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	gom.Expect(burst(38, 245)).To(gomega.BeNumerically("<", 38*16/2), "what the pool starts in half a batch time")
-	sch := newBook(2)
+	sch := newScheduler(2)
 	add(sch, 1, 3, 9000)
 	add(sch, 2, 3, 9000)
 	add(sch, 3, 3, 9000)
 	bat, _ := sch.Next(1000)
 	gom.Expect(bat.Pieces).To(gomega.HaveLen(3))
 
-	large := newBook(38)
+	large := newScheduler(38)
 	large.Set(Spec{Places: 1, Most: 8, Call: 200, Item: 21, Room: 1900})
 	for job := range int64(20) {
 		for i := range int64(3) {
--- a/pkg/gather/gather.go
+++ b/pkg/gather/gather.go
@@ -86,15 +86,16 @@
 	ID int64
 	// Job groups the items of one stage of one request; the job is complete when all its items are.
 	Job int64
-	// Due is when the item must be complete for its request to be on time; after Until it is of no
-	// use.
-	Due   clock.Milli
+	// Due is when the item must be complete for its request to be on time.
+	Due clock.Milli
+	// Until is when the item becomes useless.
 	Until clock.Milli
 	// Rank is the request's priority, 0 being the highest.
 	Rank int
 	// Zone is the preferred data centre, where the item's inputs are or its result will be used;
-	// empty if there is none. Until NearUntil the item waits for an endpoint there.
-	Zone      string
+	// empty if there is none.
+	Zone string
+	// NearUntil is how long the item waits for an endpoint in its preferred data centre.
 	NearUntil clock.Milli
 	// Bytes is the estimated size of the result.
 	Bytes int64
@@ -150,7 +151,7 @@
 	inferred     bool
 	failures     int
 	blockedUntil clock.Milli
-	// pausedUntil is when the endpoint may be sent batches again; see [Book.Hold].
+	// pausedUntil is when the endpoint may be sent batches again.
 	pausedUntil clock.Milli
 	// fullUntil is when the endpoint may be sent batches again after it refused an item for lack of
 	// result storage.
--- a/pkg/gather/gather_test.go
+++ b/pkg/gather/gather_test.go
@@ -10,7 +10,7 @@
 	"amaranthvalve/pkg/clock"
 )
 
-func newBook(endpoints int) *Book {
+func newScheduler(endpoints int) *Book {
 	sch := &Book{}
 	sch.Set(Spec{Places: 1, Most: 4, Call: 200, Item: 20, Room: 1000, Keep: 4000})
 	var list []Maker
@@ -43,7 +43,7 @@
 // first, although they are due later.
 func TestLateItemsGoLast(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	sch := newBook(1)
+	sch := newScheduler(1)
 	add(sch, 1, 4, 1100)
 	add(sch, 2, 4, 2000)
 	add(sch, 3, 4, 1800)
@@ -64,7 +64,7 @@
 // goes first; of two far apart the one due first.
 func TestPriorityAdvancesDue(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	sch := newBook(1)
+	sch := newScheduler(1)
 	sch.Add(Piece{ID: 1, Job: 1, Due: 5000, Until: 9000, Rank: 2})
 	sch.Add(Piece{ID: 2, Job: 2, Due: 5400, Until: 9000, Rank: 0})
 	sch.Add(Piece{ID: 3, Job: 3, Due: 4000, Until: 9000, Rank: 2})
@@ -82,7 +82,7 @@
 // job would be split and complete only with the next batch; the third fits.
 func TestJobsAreNotSplit(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	sch := newBook(1)
+	sch := newScheduler(1)
 	add(sch, 1, 3, 5000)
 	add(sch, 2, 2, 5001)
 	add(sch, 3, 1, 5002)
@@ -95,7 +95,7 @@
 // until their caller left, and the three results occupied the storage that the others needed.
 func TestBegunJobsGoFirst(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	sch := newBook(1)
+	sch := newScheduler(1)
 	add(sch, 1, 5, 1000)
 	bat, _ := sch.Next(0)
 	gom.Expect(jobsIn(bat)).To(gomega.Equal([]int64{1}))
@@ -112,7 +112,7 @@
 // fits is sent before it.
 func TestLowRoomDoesNotSplitJobs(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	sch := newBook(1)
+	sch := newScheduler(1)
 	piece := func(job, index int64, due clock.Milli) Piece {
 		return Piece{ID: 10*job + index, Job: job, Due: due, Until: 9000, Bytes: 80}
 	}
@@ -134,10 +134,10 @@
 }
 
 // TestWaitsForPreferredZone: the inputs of a job are in z1, whose endpoint is busy. The job waits
-// for it until NearUntil and no longer.
+// for it until its local limit and no longer.
 func TestWaitsForPreferredZone(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	sch := newBook(2)
+	sch := newScheduler(2)
 	add(sch, 1, 4, 9000)
 	for i := range sch.waiting {
 		sch.waiting[i].Zone, sch.waiting[i].NearUntil = "z1", 9000
@@ -160,7 +160,7 @@
 // batch.
 func TestBatchesFillByZone(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	sch := newBook(4)
+	sch := newScheduler(4)
 	for i := range int64(24) {
 		sch.Add(Piece{ID: i, Job: i, Due: clock.Milli(5000 + i), Until: 100000, Zone: fmt.Sprintf("z%d", i%4)})
 	}
@@ -177,7 +177,7 @@
 // would be refused again, and each attempt is charged to the retry budget.
 func TestResultsTakeRoom(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	sch := newBook(1)
+	sch := newScheduler(1)
 	for i := range int64(3) {
 		sch.Add(Piece{ID: i, Job: i, Due: 9000, Until: 99000, Bytes: 600})
 	}
@@ -211,7 +211,7 @@
 // decayed.
 func TestSlowEndpointIsSkipped(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	sch := newBook(2)
+	sch := newScheduler(2)
 	add(sch, 1, 4, 9000)
 	bat, _ := sch.Next(0)
 	slow := bat.Maker.ID
@@ -233,7 +233,7 @@
 // TestExpired: items that can no longer be completed in time to be of use are returned at once.
 func TestExpired(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	sch := newBook(1)
+	sch := newScheduler(1)
 	sch.Add(Piece{ID: 1, Job: 1, Due: 100, Until: 300})
 	gom.Expect(sch.Expired(80)).To(gomega.BeEmpty())
 	gom.Expect(sch.Expired(81)).To(gomega.HaveLen(1))
@@ -244,7 +244,7 @@
 // batches.
 func TestWait(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	sch := newBook(2)
+	sch := newScheduler(2)
 	gom.Expect(sch.Wait(0)).To(gomega.Equal(clock.Milli(0)))
 	add(sch, 1, 8, 9000)
 	gom.Expect(sch.Wait(0)).To(gomega.Equal(clock.Milli(280)))
@@ -259,7 +259,7 @@
 // then waited halfway until their results expired. The measurement decays once nothing is queued.
 func TestWaitUsesThroughput(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	sch := newBook(2)
+	sch := newScheduler(2)
 	add(sch, 1, 40, 99000)
 	for i := range sch.waiting {
 		sch.waiting[i].Bytes = 250
@@ -276,7 +276,7 @@
 			sch.Ended(bat.ID, Made, []Result{{Handle: fmt.Sprint(bat.ID), Bytes: 1000}}, now)
 		}
 	}
-	fresh := newBook(2)
+	fresh := newScheduler(2)
 	add(fresh, 1, int64(sch.Waiting()), 99000)
 	gom.Expect(sch.Wait(3000)).To(gomega.BeNumerically(">", 3*fresh.Wait(3000)))
 	sch.waiting = nil
@@ -290,7 +290,7 @@
 // gets no batch.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		sch := newBook(3)
+		sch := newScheduler(3)
 		now, next := clock.Milli(0), int64(0)
 		calls := map[int64]Batch{}
 		handles := map[string]int{}
@@ -369,7 +369,7 @@
 // count for nothing, and the end of a batch of that process changes nothing.
 func TestRestartedEndpointIsReset(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	sch := newBook(0)
+	sch := newScheduler(0)
 	sch.Sync([]Maker{{ID: "m@1"}})
 	for i := range int64(4) {
 		sch.Add(Piece{ID: i, Job: i, Due: 9000, Until: 99000, Bytes: 250})
--- a/pkg/gather/spacing_test.go
+++ b/pkg/gather/spacing_test.go
@@ -15,7 +15,7 @@
 // full batch is sent at once.
 func TestBatchStartsAreSpaced(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	sch := newBook(2)
+	sch := newScheduler(2)
 	add(sch, 1, 2, 9000)
 	_, ok := sch.Next(1000)
 	gom.Expect(ok).To(gomega.BeTrue(), "no batch was started before")
@@ -71,7 +71,7 @@
 // 0.31 s.
 func TestBatchesDoNotBunch(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	sch := newBook(5)
+	sch := newScheduler(5)
 	sch.Set(Spec{Places: 1, Most: 34, Call: 240, Item: 6.1})
 	took := load(sch, 48.4)
 	gom.Expect(len(took)).To(gomega.BeNumerically(">", 2700))
@@ -83,7 +83,7 @@
 // of one request.
 func TestSpacingOnIdlePool(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	sch := newBook(5)
+	sch := newScheduler(5)
 	sch.Set(Spec{Places: 1, Most: 34, Call: 240, Item: 6.1})
 	took := load(sch, 5)
 	gom.Expect(took[len(took)/2]).To(gomega.BeNumerically("<=", sch.spec.Time(4)+1))
@@ -95,7 +95,7 @@
 // which two would be refused; the storage is available again once the TTL has passed.
 func TestForeignResults(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	sch := newBook(1)
+	sch := newScheduler(1)
 	gom.Expect(sch.Told("m0", 500, 1000)).To(gomega.Equal(int64(500)))
 	gom.Expect(sch.Told("nobody", 500, 1000)).To(gomega.BeZero())
 	for i := range int64(4) {
@@ -129,7 +129,7 @@
 // that nothing is refused again; after foreignTTL more is tried.
 func TestRefusalsRevealForeignResults(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	sch := newBook(1)
+	sch := newScheduler(1)
 	sch.Begin(900)
 	for i := range int64(9) {
 		sch.Add(Piece{ID: i, Job: i, Due: 9000, Until: 100000, Bytes: 250})
--- a/pkg/place/bench_test.go
+++ b/pkg/place/bench_test.go
@@ -9,7 +9,7 @@
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{18, 64, 1600} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			plc := newBook(n)
+			plc := newPlacer(n)
 			for i := range 4 * n {
 				plc.Begin(fmt.Sprintf("e%d", i%n), fmt.Sprint(i), prompt(fmt.Sprint(i%200)), 200, 0)
 			}
--- a/pkg/place/load_test.go
+++ b/pkg/place/load_test.go
@@ -124,13 +124,13 @@
 	gom := gomega.NewWithT(t)
 	byHash := newFleet()
 	byHash.play(func(_ string, prm Prompt, _ clock.Milli) int {
-		plc := newBook(18)
+		plc := newPlacer(18)
 		seat, _ := plc.Pick(Ask{Prompt: prm}, 0)
 		return index(seat)
 	}, func(string, model.Answer, float64) {}, func(string, model.Answer, float64) {})
 
 	placed := newFleet()
-	plc := newBook(18)
+	plc := newPlacer(18)
 	placed.play(func(ticket string, prm Prompt, now clock.Milli) int {
 		return index(pick(plc, ticket, Ask{Prompt: prm, Gap: gapAim}, now))
 	}, func(ticket string, ans model.Answer, took float64) {
--- a/pkg/place/place_test.go
+++ b/pkg/place/place_test.go
@@ -9,7 +9,7 @@
 	"amaranthvalve/pkg/clock"
 )
 
-func newBook(count int) *Book {
+func newPlacer(count int) *Book {
 	plc := &Book{}
 	var list []Engine
 	for i := range count {
@@ -39,9 +39,9 @@
 	used := map[string]bool{}
 	for i := range 100 {
 		ask := Ask{Prompt: prompt(fmt.Sprint(i))}
-		fst, _ := newBook(12).Pick(ask, 0)
+		fst, _ := newPlacer(12).Pick(ask, 0)
 		ask.Salt = "another"
-		snd, _ := newBook(12).Pick(ask, 0)
+		snd, _ := newPlacer(12).Pick(ask, 0)
 		gom.Expect(fst.Engine.ID).To(gomega.Equal(snd.Engine.ID))
 		used[fst.Engine.ID] = true
 	}
@@ -52,7 +52,7 @@
 // they are cached.
 func TestLeavingEngineMovesOnlyItsPrompts(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	plc := newBook(6)
+	plc := newPlacer(6)
 	before := map[int]string{}
 	for i := range 60 {
 		seat, _ := plc.Pick(Ask{Prompt: prompt(fmt.Sprint(i))}, 0)
@@ -73,7 +73,7 @@
 // engine, though all have the same cost.
 func TestUnsharedPromptsSpread(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	plc := newBook(8)
+	plc := newPlacer(8)
 	used := map[string]bool{}
 	for i := range 8 {
 		used[pick(plc, fmt.Sprint(i), Ask{Prompt: Prompt{In: 2000, Out: 10}, Salt: fmt.Sprint(i)}, 0).Engine.ID] = true
@@ -85,7 +85,7 @@
 // only as long as reading it elsewhere would take.
 func TestHotPromptSpreads(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	plc := newBook(4)
+	plc := newPlacer(4)
 	count := map[string]int{}
 	for i := range 80 {
 		count[pick(plc, fmt.Sprint(i), Ask{Prompt: prompt("hot")}, 0).Engine.ID]++
@@ -101,7 +101,7 @@
 // to the first and wait there for seconds.
 func TestCostCountsTokensToRead(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	plc := newBook(2)
+	plc := newPlacer(2)
 	plc.Begin("e0", "long", Prompt{In: 40000, Out: 100}, 0, 0)
 	for i := range 5 {
 		ticket := fmt.Sprint(i)
@@ -119,7 +119,7 @@
 // to fetch the document from, if engines can fetch.
 func TestCachedPrefixIsUsed(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	plc := newBook(4)
+	plc := newPlacer(4)
 	for _, eng := range plc.list {
 		eng.Fetches = true
 	}
@@ -168,7 +168,7 @@
 func TestReportedPrefixIsUsed(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	for i := range 20 {
-		plc := newBook(6)
+		plc := newPlacer(6)
 		ask := Ask{Prompt: prompt(fmt.Sprint("doc", i))}
 		plc.Holds("e3", ask.Prompt.Parts[:2])
 		plc.Holds("e5", ask.Prompt.Parts[1:2])
@@ -184,7 +184,7 @@
 // cost is as before.
 func TestHungEngineIsAvoided(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	plc := newBook(3)
+	plc := newPlacer(3)
 	ask := Ask{Prompt: prompt("doc")}
 	home := pick(plc, "1", ask, 0).Engine.ID
 	gom.Expect(plc.byID[home].queueTime(2000)).To(gomega.BeNumerically(">", 1000))
@@ -200,7 +200,7 @@
 // runTTL and no longer.
 func TestLostEndExpires(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	plc := newBook(1)
+	plc := newPlacer(1)
 	for i := range 64 {
 		plc.Begin("e0", fmt.Sprint(i), Prompt{In: 100, Out: 10}, 0, 0)
 	}
@@ -215,7 +215,7 @@
 // away for long.
 func TestReportedLoadDecays(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	plc := newBook(2)
+	plc := newPlacer(2)
 	ask := Ask{Prompt: prompt("x")}
 	home, _ := plc.Pick(ask, 0)
 	plc.Said(home.Engine.ID, 64, 0)
@@ -230,7 +230,7 @@
 // work would be lost with the long one.
 func TestLongStreamsAreSpared(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	plc := newBook(2)
+	plc := newPlacer(2)
 	for i := range 300 {
 		plc.pauses.sample(200*i, float64(i))
 		plc.Begin("e0", fmt.Sprint("m", i), Prompt{In: 1000, Out: 500}, 0, 0)
@@ -280,7 +280,7 @@
 // probes it. If all engines fail, they are used all the same.
 func TestFailingEngineIsEjected(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	plc := newBook(2)
+	plc := newPlacer(2)
 	ask := Ask{Prompt: prompt("x")}
 	home, _ := plc.Pick(ask, 0)
 	fail := func(id string, now clock.Milli) {
