--- a/internal/state/control.go
+++ b/internal/state/control.go
@@ -18,24 +18,24 @@
 )
 
 const (
-	// tickEvery is the time between two steps of the control thread.
-	tickEvery = 100 * time.Millisecond
-	// startWait is how long after its start requests wait for an instance to know documents
-	// and endpoints. A store that is well is read by hundreds at once within that, also where
-	// documents have a thousand routes and links are slow.
-	startWait = clock.Second
-	// staleAfter is the age from which a view may well be an old one: two and a
-	// half times the longest wait between two answers of a store that is well.
+	// stepInterval is the time between two steps of the control loop.
+	stepInterval = 100 * time.Millisecond
+	// startupWait is how long after the start requests wait until the instance knows documents and
+	// endpoints. A healthy store answers hundreds of simultaneous reads within this time, also with
+	// documents of a thousand routes and over slow links.
+	startupWait = clock.Second
+	// staleAfter is the age from which a view counts as possibly outdated: two and a half times the
+	// longest interval between two answers of a healthy store.
 	staleAfter = 2500 * clock.Milli(1)
 )
 
-// Setup is what a control thread is made of.
+// Setup configures a [Control].
 type Setup struct {
 	Self   ident.Incarnation
 	Zone   string
 	Caller string
 	Seeds  []string
-	// Capacity is how strong this instance is, in cores; zero counts 1.
+	// Capacity is the size of this instance in cores; zero counts as 1.
 	Capacity float64
 	Clock    clock.Clock
 	Store    talk.Store
@@ -43,110 +43,110 @@
 	Log      zerolog.Logger
 	// Dialect compiles documents.
 	Dialect *talk.Dialect
-	// Link is nil for an instance that stands alone.
+	// Link is nil for an instance that runs alone.
 	Link *peer.Link
-	// TokensFor is the age up to which a view's tokens are honoured, zero for no bound.
+	// TokensFor is the maximum age of a view by which tokens are accepted; zero means no bound.
 	TokensFor clock.Milli
-	// Changed is told of each new view that has other endpoints, other rates of these or
-	// another plan than the one before; on the control thread.
+	// Changed is called on the control loop with each new view whose plan, endpoints or endpoint
+	// rates differ from those of the view before.
 	Changed func(vw *View)
 }
 
-// Control owns the control state of an instance.
+// Control owns the control state of an instance. It is made by [New].
 type Control struct {
 	set  Setup
 	loop *loop.Loop
 	view atomic.Pointer[View]
 	load atomic.Int64
 
-	// began is when this instance started.
-	began   clock.Milli
-	group   group.Group
-	list    *member.List
-	docs    docsCtl
-	endpts  endptsCtl
-	facts   factsCtl
-	leaving bool
-	dirty   bool
-	// rated tells that rates of endpoints changed.
-	rated bool
-	// ranked are the changes of the members that the view's ranks follow from; beats
-	// tells that a step has passed, and with it signs of life and loads.
-	ranked uint64
-	beats  bool
-	// listed are the lines of instances that were read in the store.
-	listed map[string]bool
-	// turned is closed when a view with another plan or other endpoints is there.
-	turned atomic.Pointer[chan struct{}]
-	// asked is given when the store was asked for documents, met when the others' lines
-	// were read or another instance told of all that it knows.
-	asked *signal
-	met   *signal
-	// unlisted are the members whose lines were missing from the store at the last look.
+	// startedAt is when this instance started.
+	startedAt clock.Milli
+	group     group.Group
+	list      *member.List
+	docs      docsCtl
+	endpts    endptsCtl
+	facts     factsCtl
+	leaving   bool
+	dirty     bool
+	// ratesChanged is set if endpoint rates changed since the last view.
+	ratesChanged bool
+	// rankedChanges is the change counter of the member list when the view's rankings were
+	// computed. stepped is set after a step, which updates heartbeats and loads of members.
+	rankedChanges uint64
+	stepped       bool
+	// storedNames are the names of the instance entries last read from the store.
+	storedNames map[string]bool
+	// viewChanged is closed when a view with another plan or other endpoints is stored.
+	viewChanged atomic.Pointer[chan struct{}]
+	// storeContacted fires once the store has been asked for documents, membersLoaded once the
+	// instance entries have been read or another instance has sent its whole state.
+	storeContacted *signal
+	membersLoaded  *signal
+	// unlisted are the members whose entries were missing from the store at the last lookup.
 	unlisted map[ident.Incarnation]bool
-	// announced tells that our own line was written.
+	// announced is set once this instance's entry has been written.
 	announced atomic.Bool
 }
 
-// New returns a control thread that has not started.
+// New returns a control state whose loop is not running yet.
 func New(set Setup) *Control {
-	ctl := &Control{set: set, loop: loop.New(set.Clock, func() { set.Meter.Event(meter.EventDropped) }), asked: newSignal(), met: newSignal()}
+	ctl := &Control{set: set, loop: loop.New(set.Clock, func() { set.Meter.Event(meter.EventDropped) }), storeContacted: newSignal(), membersLoaded: newSignal()}
 	now := set.Clock.Now()
-	ctl.began = now
+	ctl.startedAt = now
 	ctl.list = member.New(set.Self, set.Zone, set.Caller, now)
 	ctl.list.SetCapacity(set.Capacity)
 	ctl.group = group.Group{
 		Self: set.Self, List: ctl.list, Link: set.Link, Offer: ctl.loop.Offer, Go: ctl.loop.Go,
-		Now: set.Clock.Now, Dress: ctl.dress, Heard: ctl.heard,
+		Now: set.Clock.Now, Dress: ctl.attachState, Heard: ctl.receive,
 	}
 	ctl.docs.ctl, ctl.docs.offset = ctl, -1
-	ctl.endpts = endptsCtl{ctl: ctl, left: map[ident.Process]clock.Milli{}, upElse: never}
+	ctl.endpts = endptsCtl{ctl: ctl, leaving: map[ident.Process]clock.Milli{}, otherUpSince: never}
 	ctl.facts = newFacts(ctl)
 	ctl.view.Store(&View{offset: -1})
-	turned := make(chan struct{})
-	ctl.turned.Store(&turned)
+	changed := make(chan struct{})
+	ctl.viewChanged.Store(&changed)
 	return ctl
 }
 
-// View gives the present view.
+// View returns the current view.
 func (ctl *Control) View() *View { return ctl.view.Load() }
 
-// Whole gives the present view, and right after the start waits a moment for one by which
-// requests can be served. A caller that is refused meanwhile has used one of its few tries,
-// and hundreds that come back later at once meet those that come then.
+// Whole returns the current view. Within [startupWait] of the start it waits for a view by which
+// requests can be served: a caller that is refused meanwhile has used up one of its few attempts,
+// and hundreds of simultaneous retries would add to the load that comes later.
 func (ctl *Control) Whole(ctx context.Context) *View {
 	vw := ctl.View()
-	left := startWait - ctl.set.Clock.Since(ctl.began)
-	if vw.whole() || left <= 0 {
+	left := startupWait - ctl.set.Clock.Since(ctl.startedAt)
+	if vw.servable() || left <= 0 {
 		return vw
 	}
-	return ctl.waitFor(ctx, left.Duration(), (*View).whole)
+	return ctl.waitFor(ctx, left.Duration(), (*View).servable)
 }
 
-// Self gives the instance's identity.
+// Self returns the instance's identity.
 func (ctl *Control) Self() ident.Incarnation { return ctl.set.Self }
 
-// SetLoad notes how many requests are under way, for the other instances.
+// SetLoad sets the number of requests in flight that is reported to other instances.
 func (ctl *Control) SetLoad(n int64) { ctl.load.Store(n) }
 
-// SetSeeds changes the addresses that are asked while nobody else is known.
+// SetSeeds replaces the addresses that are probed while no other instance is known.
 func (ctl *Control) SetSeeds(seeds []string) {
 	ctl.loop.Offer(func(clock.Milli) { ctl.set.Seeds = seeds })
 }
 
-// Run owns the state until the context ends, then waits for its workers.
+// Run runs the control loop until the context ends, then waits for its workers.
 func (ctl *Control) Run(ctx context.Context) {
-	ctl.loop.Run(ctx, tickEvery, func() {
+	ctl.loop.Run(ctx, stepInterval, func() {
 		ctl.loop.Go(ctl.docs.watch)
 		ctl.loop.Go(ctl.endpts.poll)
-		ctl.loop.Go(ctl.meet)
+		ctl.loop.Go(ctl.discover)
 	}, ctl.step, ctl.publish)
 }
 
 func (ctl *Control) step(now clock.Milli) {
 	ctl.list.SetSelf(ctl.docs.offset, int(ctl.load.Load()), ctl.leaving, now)
 	ctl.list.SetStale(ctl.docs.plan == nil || now-ctl.docs.asOf > staleAfter)
-	ctl.beats = true
+	ctl.stepped = true
 	ctl.group.Tick(now)
 	ctl.endpts.step(now)
 	ctl.facts.step(now)
@@ -154,49 +154,49 @@
 	ctl.set.Meter.Set(meter.GaugeEventQueue, float64(ctl.loop.Waiting()))
 }
 
-// publish makes a new view. What follows from the members alone is kept while they stay
-// the same: ranked anew for each event, 300 instances took a quarter of their processor.
+// publish stores a new view. What is derived from the members alone is reused while they are
+// unchanged: ranking them for every event took a quarter of the processor at 300 instances.
 func (ctl *Control) publish(now clock.Milli) {
 	old := ctl.view.Load()
 	vw := &View{
-		plan: ctl.docs.plan, offset: ctl.docs.offset, asOf: ctl.docs.asOf, endpoints: ctl.endpts.list, listed: ctl.endpts.listed(), digest: old.digest, past: old.past,
-		members: old.members, homes: old.homes, sources: old.sources, othersOK: old.othersOK,
-		leaving: ctl.leaving, text: ctl.docs.doc.Text, heard: ctl.docs.heardAt, slow: ctl.docs.slow,
+		plan: ctl.docs.plan, offset: ctl.docs.offset, asOf: ctl.docs.asOf, endpoints: ctl.endpts.list, endpointsKnown: ctl.endpts.endpointsKnown(), digest: old.digest, pastLists: old.pastLists,
+		members: old.members, homes: old.homes, sources: old.sources, othersFresh: old.othersFresh,
+		leaving: ctl.leaving, text: ctl.docs.doc.Text, answeredAt: ctl.docs.lastAnswer, storeDelay: ctl.docs.storeDelay,
 		suspects: ctl.facts.suspects, rates: ctl.facts.rates,
 	}
-	if changed := ctl.list.Changes(); changed != ctl.ranked || ctl.beats {
+	if changed := ctl.list.Changes(); changed != ctl.rankedChanges || ctl.stepped {
 		vw.members = ctl.list.All()
 	}
-	if changed := ctl.list.Changes(); changed != ctl.ranked || ctl.dirty {
-		ctl.ranked = changed
-		ctl.rank(vw)
+	if changed := ctl.list.Changes(); changed != ctl.rankedChanges || ctl.dirty {
+		ctl.rankedChanges = changed
+		ctl.rankMembers(vw)
 	}
 	if ctl.dirty {
 		vw.digest = digest(vw.endpoints)
 	}
 	if vw.digest != old.digest {
-		vw.past = remember(old.past, listed{Digest: old.digest, List: old.endpoints})
+		vw.pastLists = appendPast(old.pastLists, endpointList{Digest: old.digest, List: old.endpoints})
 	}
-	ctl.beats = false
-	ctl.tell(old, vw, now)
+	ctl.stepped = false
+	ctl.logChanges(old, vw, now)
 	ctl.view.Store(vw)
 	if ctl.dirty {
 		next := make(chan struct{})
-		close(*ctl.turned.Swap(&next))
+		close(*ctl.viewChanged.Swap(&next))
 	}
-	if (ctl.dirty || ctl.rated) && ctl.set.Changed != nil {
+	if (ctl.dirty || ctl.ratesChanged) && ctl.set.Changed != nil {
 		ctl.set.Changed(vw)
 	}
-	ctl.dirty, ctl.rated = false, false
+	ctl.dirty, ctl.ratesChanged = false, false
 }
 
-// rank sets what follows from who is there.
-func (ctl *Control) rank(vw *View) {
-	vw.sources = sourcesOf(ctl.list.Homes(readersName))
-	vw.othersOK = false
+// rankMembers sets the parts of a view that are derived from the members.
+func (ctl *Control) rankMembers(vw *View) {
+	vw.sources = sourcesOf(ctl.list.Homes(readersRankKey))
+	vw.othersFresh = false
 	for _, mbr := range vw.members {
 		if mbr.Who() != ctl.set.Self && mbr.Status() == member.Alive && !mbr.Stale() {
-			vw.othersOK = true
+			vw.othersFresh = true
 		}
 	}
 	if vw.plan == nil {
@@ -208,11 +208,11 @@
 	}
 }
 
-// tell writes down what changed.
-func (ctl *Control) tell(old, vw *View, now clock.Milli) {
+// logChanges logs and measures what differs between two views.
+func (ctl *Control) logChanges(old, vw *View, now clock.Milli) {
 	if was, is := old.Ready(now), vw.Ready(now); was != is {
 		ctl.set.Log.Info().Bool("ready", is).Int64("view_age_ms", int64(vw.Age(now))).
-			Bool("others_fresh", vw.othersOK).Bool("leaving", vw.leaving).Msg("readiness changed")
+			Bool("others_fresh", vw.othersFresh).Bool("leaving", vw.leaving).Msg("readiness changed")
 	}
 	if len(old.members) != len(vw.members) {
 		ctl.set.Log.Info().Int("before", len(old.members)).Int("members", len(vw.members)).Msg("members changed")
@@ -221,18 +221,18 @@
 	ctl.set.Meter.Set(meter.GaugeApplied, float64(vw.offset))
 }
 
-// Left is told by traffic that an endpoint said it is leaving, or is gone.
+// Left records that an endpoint announced to a request that it is leaving, or was found to be gone.
 func (ctl *Control) Left(id ident.Process, why string) {
-	ctl.loop.Offer(func(now clock.Milli) { ctl.endpts.heardLeaving(id, why, now) })
+	ctl.loop.Offer(func(now clock.Milli) { ctl.endpts.markLeaving(id, why, now) })
 }
 
-// Doubt is told by traffic that another instance gave no answer.
+// Doubt reports that another instance did not answer a request, and has it probed.
 func (ctl *Control) Doubt(who ident.Incarnation) {
 	ctl.loop.Offer(func(now clock.Milli) { ctl.group.Doubt(who, now) })
 }
 
-// Leave starts a planned stop: the others are told at once, and this instance is
-// named to callers no longer. It goes on serving.
+// Leave starts a planned shutdown: the other instances are notified at once, and this instance is
+// no longer offered to callers. It goes on serving.
 func (ctl *Control) Leave(ctx context.Context) {
 	ctl.loop.Do(ctx, func(now clock.Milli) {
 		ctl.leaving = true
--- a/internal/state/doc.go
+++ b/internal/state/doc.go
@@ -1,34 +1,33 @@
-// Package state owns what an instance believes: which documents are in force,
-// which endpoints there are, and who the other instances are.
+// Package state owns the control state of an instance: the documents in force, the endpoints, and
+// the other instances.
 //
-// # One thread
+// # One goroutine
 //
-// One goroutine owns all of it ([Control]). Whatever is learned comes to it as an
-// event; traffic reads an immutable [View] through an atomic pointer.
+// One goroutine owns the state ([Control]). Everything learned reaches it as an event; requests
+// read an immutable [View] through an atomic pointer.
 //
 // # Freshness
 //
-// A view is as old as the moment before the read was sent that the store answered
-// last. While nothing newer stood in the store then, the view was in force then;
-// nothing can be said of any later moment. Each view carries this instant, and the
-// clock behind it counts the time for which a machine was suspended, so that a
-// process which wakes knows at its first request how old its view is.
+// A view is as old as the instant just before the last answered read of the store was sent. The
+// store held nothing newer at that instant, so the view was in force then; nothing is known of any
+// later one. Each view carries this instant. The clock also counts the time during which a machine
+// was suspended, so that a process that resumes knows the true age of its view at its first
+// request.
 //
-// An instance that the store turns away learns from the others: the answer to a
-// probe says which documents the other has and how long ago they were known to be
-// the newest, and our own wait for that answer is added. That several instances
-// agree proves nothing: the store may turn all of them away and still accept a
-// change.
+// An instance that the store rejects catches up from other instances: the answer to a probe carries
+// the offset of the documents and how long ago they were known to be the newest, and the round-trip
+// time of the probe is added. Agreement between several instances proves nothing: the store may
+// reject all of them and still accept a change.
 //
 // # Sources
 //
-// A few instances read the store, and the others follow them (source.go, follow.go). An
-// instance that starts reads documents, then who else there is, then endpoints, and only then
-// makes itself known (meet.go).
+// A few instances read the store, and the others follow them (source.go, follow.go). A starting
+// instance reads the documents, then the instance entries, then the endpoints, and announces itself
+// only after it has read the instance entries (discover.go).
 //
 // # Endpoints
 //
-// The store drops the entries of endpoints that it hasn't heard of, also while it
-// is down itself. So what is missing right after an outage is not taken to be gone
-// until endpoints had time to write again.
+// The store expires the entries of endpoints that do not renew them, also while it is down itself.
+// Entries missing right after an outage are therefore kept until endpoints have had time to renew
+// them.
 package state
--- a/internal/state/docs.go
+++ b/internal/state/docs.go
@@ -20,140 +20,141 @@
 )
 
 const (
-	// holdFor is how long the store is asked to hold a read. A change ends it
-	// at once; the time only sets how often a quiet store is asked and how old
-	// a view becomes before it is known to be in force.
-	holdFor = 700 * clock.Milli(1)
-	// holdShare is the part of the time for which tokens are honoured that a read is held at
-	// the most. The next answer comes after two of them, and as much later as it is passed on.
-	holdShare = 0.2
-	// readWait bounds a read beyond the time it is held: a slow store answers
-	// in some hundred milliseconds, a silent connection never does.
-	readWait = 1500 * time.Millisecond
-	// slowMost is the most that a slow store is granted before it counts as silent.
-	slowMost = 500 * clock.Milli(1)
-	// againAfter is the pause after a failed read; it doubles with each further one up to
-	// againMost. Each call is paid for, refused ones too, and while the store is down all
-	// instances ask it. The longest pause is how late an instance knows that the store is back, well within the
-	// two seconds in which a change must be in force.
-	againAfter = 250 * clock.Milli(1)
-	againMost  = clock.Second
-	// askAgain is the pause between two patient questions: one that is refused takes no time.
-	askAgain = 100 * time.Millisecond
-	// againSteps is after how many failures the pause is at its longest.
-	againSteps = 3
-	// stateWait bounds the question for another instance's documents.
-	stateWait = time.Second
+	// watchHold is how long the store is asked to hold a read. A change ends the read at once, so
+	// this only sets how often an unchanged store is asked, and how old a view becomes before it is
+	// confirmed.
+	watchHold = 700 * clock.Milli(1)
+	// watchHoldShare is the largest part of the time for which tokens are accepted that a read is
+	// held. A view can be as old as two held reads, plus the delay of a follower.
+	watchHoldShare = 0.2
+	// readTimeout bounds a read beyond the time for which it is held: a slow store answers within
+	// some hundred milliseconds, a dead connection never does.
+	readTimeout = 1500 * time.Millisecond
+	// maxStoreDelay is the largest delay of a slow store that does not count as silence.
+	maxStoreDelay = 500 * clock.Milli(1)
+	// minRetryPause is the pause after a failed read. It doubles with each further failure up to
+	// maxRetryPause. Every call costs money, failed ones too, and all instances call the store
+	// while it is down. The longest pause bounds how late an instance notices that the store is
+	// back, well within the two seconds in which a change must be in force.
+	minRetryPause = 250 * clock.Milli(1)
+	maxRetryPause = clock.Second
+	// readerRetryPause is the pause between two patient requests to readers: one that is refused
+	// returns at once.
+	readerRetryPause = 100 * time.Millisecond
+	// maxRetryDoublings is the number of failures after which the pause is longest.
+	maxRetryDoublings = 3
+	// stateTimeout bounds the request for another instance's state.
+	stateTimeout = time.Second
 )
 
-// docsCtl keeps the documents in force.
+// docsCtl owns the documents in force.
 type docsCtl struct {
 	ctl    *Control
 	plan   *plan.Plan
 	doc    talk.Document
 	offset int64
-	// asOf is the instant at which the documents were the newest.
-	asOf   clock.Milli
-	asking bool
-	down   bool
-	silent silence
-	// told is the list of endpoints that a reader told last, empty once the store was
-	// read itself.
-	told listed
-	// heardAt is when the store answered last, slow how long it took beyond what it was
-	// asked to wait.
-	heardAt clock.Milli
-	slow    clock.Milli
+	// asOf is the latest instant at which the documents were known to be the newest.
+	asOf     clock.Milli
+	fetching bool
+	down     bool
+	backoff  backoffs
+	// fromReader is the list of endpoints last received from a reader, empty after this instance
+	// has read the store itself.
+	fromReader endpointList
+	// lastAnswer is when the store last answered, storeDelay how much longer than the requested
+	// hold that took.
+	lastAnswer clock.Milli
+	storeDelay clock.Milli
 }
 
-// watch reads the documents, and then waits in the store for newer ones, or follows
-// another instance that does.
+// watch reads the documents and then waits for newer ones, in the store itself or through another
+// instance that reads it.
 func (dct *docsCtl) watch(ctx context.Context) {
 	from, fails, unanswered, waited := int64(-1), 0, 0, false
 	for ctx.Err() == nil {
 		who, src := dct.ctl.source(dct.ctl.set.Clock.Now())
-		if src == fromOther && unanswered < unansweredMost {
-			// Whoever reads the store again later starts with a whole read.
+		if src == fromOther && unanswered < maxUnanswered {
+			// When the store is read directly again, that begins with a full read.
 			from = -1
 			switch err := dct.followOnce(ctx, who, false); {
 			case err == nil:
 				fails, unanswered = 0, 0
-			case !errors.Is(err, errOldNews):
+			case !errors.Is(err, errReaderStale):
 				unanswered++
 			}
 			continue
 		}
-		if src == fromStoreRarely && from < 0 && dct.outwait(ctx) {
+		if src == fromStoreRarely && from < 0 && dct.followAny(ctx) {
 			continue
 		}
 		next, err := dct.read(ctx, from)
 		unanswered = 0
-		dct.contact(ctx, err)
+		dct.recordContact(ctx, err)
 		if err != nil {
-			// The next read is a whole one: whatever happened to the log
-			// meanwhile, the newest record of a key is there.
+			// The next read is a full one: whatever happened to the log meanwhile, it returns the
+			// newest record of a key.
 			from = -1
-			pause(ctx, againSpan(fails))
+			pause(ctx, retryPause(fails))
 			fails++
 			continue
 		}
 		from, fails = next, 0
-		dct.ctl.met.wait(ctx, othersWait)
+		dct.ctl.membersLoaded.wait(ctx, membersWait)
 		if dct.ctl.View().plan == nil && !waited {
-			// Nothing can be served yet. Once the others are known, most instances hear of
-			// the first documents from the few that watch for them.
+			// Nothing can be served yet. Once the other instances are known, most learn of the
+			// first documents from the few that watch the store.
 			waited = true
-			dct.ctl.met.wait(ctx, lookEvery[0]+lookMargin)
+			dct.ctl.membersLoaded.wait(ctx, lookupIntervals[0]+lookupMargin)
 		}
 	}
 }
 
-// againSpan gives the pause after so many failures in a row.
-func againSpan(fails int) time.Duration {
-	return retry.Spread(min(againAfter<<min(fails, againSteps), againMost) / 2).Duration()
+// retryPause returns the pause after a number of consecutive failures.
+func retryPause(fails int) time.Duration {
+	return retry.Spread(min(minRetryPause<<min(fails, maxRetryDoublings), maxRetryPause) / 2).Duration()
 }
 
-// outwait waits for news while nobody has any, before this instance reads the store for
-// itself: it asks readers and deputies in turn, who answer when they hear from the store
-// again. It tells whether one of them did.
-func (dct *docsCtl) outwait(ctx context.Context) bool {
+// followAny follows readers and deputies in turn for a while, when none of them is up to date,
+// before this instance reads the store itself. They answer when the store answers them again. It
+// reports whether one of them did.
+func (dct *docsCtl) followAny(ctx context.Context) bool {
 	vw := dct.ctl.View()
 	all := slices.Concat(vw.sources.readers, vw.sources.deputies)
-	from, until := rand.IntN(max(len(all), 1)), dct.ctl.set.Clock.Now()+rareSpan(len(vw.members))
+	from, until := rand.IntN(max(len(all), 1)), dct.ctl.set.Clock.Now()+rareReadWait(len(vw.members))
 	for i := 0; ctx.Err() == nil && dct.ctl.set.Clock.Now() < until; i++ {
 		if len(all) > 0 && dct.followOnce(ctx, all[(from+i)%len(all)], true) == nil {
 			return true
 		}
-		pause(ctx, askAgain)
+		pause(ctx, readerRetryPause)
 	}
 	return false
 }
 
-// followOnce follows an instance for one answer; patiently, it is told of the next word from the
-// store even if that has been silent. One that fails is left alone for a while.
+// followOnce follows an instance for one answer. A patient request is held by the reader even if the
+// store has been silent. An instance that fails is not asked for a while.
 func (dct *docsCtl) followOnce(ctx context.Context, who ident.Incarnation, patiently bool) error {
 	err := dct.follow(ctx, who, patiently)
 	if err == nil {
-		dct.silent.add(who, 0)
+		dct.backoff.add(who, 0)
 	}
 	if err == nil || ctx.Err() != nil {
 		return err
 	}
 	now := dct.ctl.set.Clock.Now()
-	dct.silent.add(who, now+readerSilent)
-	dct.ctl.loop.Do(ctx, func(clock.Milli) { dct.ctl.endpts.followed = 0 })
-	dct.ctl.set.Log.Info().Err(err).Str("reader", string(who)).Int64("view_age_ms", int64(dct.ctl.View().Age(now))).Msg("reader of the store lost")
+	dct.backoff.add(who, now+readerBackoff)
+	dct.ctl.loop.Do(ctx, func(clock.Milli) { dct.ctl.endpts.followedAt = 0 })
+	dct.ctl.set.Log.Info().Err(err).Str("reader", string(who)).Int64("view_age_ms", int64(dct.ctl.View().Age(now))).Msg("store reader failed")
 	return err
 }
 
-// read waits for a change if from is known, and reads the newest documents. It
-// gives the offset from which to watch.
+// read waits for a change if from is known, and reads the newest documents. It returns the offset
+// from which to watch.
 func (dct *docsCtl) read(ctx context.Context, from int64) (int64, error) {
 	store, clk := dct.ctl.set.Store, dct.ctl.set.Clock
 	sent := clk.Now()
 	if from >= 0 {
-		hold := dct.ctl.capped(holdFor, holdShare)
-		wctx, cancel := context.WithTimeout(ctx, hold.Duration()+readWait)
+		hold := dct.ctl.capped(watchHold, watchHoldShare)
+		wctx, cancel := context.WithTimeout(ctx, hold.Duration()+readTimeout)
 		changed, err := store.Watch(wctx, from, hold)
 		cancel()
 		if err != nil {
@@ -163,12 +164,12 @@
 			took := clk.Since(sent)
 			dct.ctl.loop.Do(ctx, func(clock.Milli) {
 				dct.confirm(sent)
-				dct.slow = min(max(took-hold, 0), slowMost)
+				dct.storeDelay = min(max(took-hold, 0), maxStoreDelay)
 			})
 			return from, nil
 		}
 	}
-	rctx, cancel := context.WithTimeout(ctx, readWait)
+	rctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	sent = clk.Now()
 	doc, err := store.Newest(rctx)
@@ -176,14 +177,16 @@
 		return 0, err
 	}
 	dct.ctl.loop.Do(ctx, func(now clock.Milli) {
-		// Whoever sees the documents must see that the store was heard too.
-		dct.heardAt = now
-		dct.take(doc, sent, now, "store")
+		// Set together with the documents: a view that has them must also show that the store
+		// answered.
+		dct.lastAnswer = now
+		dct.apply(doc, sent, now, "store")
 	})
 	return doc.End, nil
 }
 
-// capped gives a span, or a part of the time for which tokens are honoured if that is shorter.
+// capped returns a span, or the given part of the time for which tokens are accepted if that is
+// shorter.
 func (ctl *Control) capped(span clock.Milli, part float64) clock.Milli {
 	if ctl.set.TokensFor == 0 {
 		return span
@@ -191,22 +194,22 @@
 	return min(span, clock.Milli(part*float64(ctl.set.TokensFor)))
 }
 
-// errStoreDown stands for the answer of a store that didn't answer for documents.
-var errStoreDown = errors.New("the store didn't answer when it was asked for documents")
+// errStoreDown is returned in place of a call when the last read of the documents failed.
+var errStoreDown = errors.New("the store did not answer the last read of the documents")
 
-// storeDown tells whether the store failed to answer when it was asked for documents last.
-// It is asked for those all the while; asked for anything else it would tell the same.
+// storeDown reports whether the last read of the documents failed. These reads never stop, so other
+// calls need not find out by themselves.
 func (ctl *Control) storeDown(ctx context.Context) bool {
 	down, ok := loop.Get(ctx, ctl.loop, func(clock.Milli) bool { return ctl.docs.down })
 	return down || !ok
 }
 
-// contact writes down a lost or regained store.
-func (dct *docsCtl) contact(ctx context.Context, err error) {
-	defer dct.ctl.asked.give()
+// recordContact records and logs whether the store answered.
+func (dct *docsCtl) recordContact(ctx context.Context, err error) {
+	defer dct.ctl.storeContacted.fire()
 	dct.ctl.loop.Do(ctx, func(now clock.Milli) {
 		if err == nil {
-			dct.heardAt = now
+			dct.lastAnswer = now
 		}
 		if dct.down == (err != nil) {
 			return
@@ -220,13 +223,12 @@
 	})
 }
 
-// confirm notes that the documents were still the newest when a read was sent.
+// confirm records that the documents were still the newest when a read was sent.
 func (dct *docsCtl) confirm(sent clock.Milli) { dct.asOf = max(dct.asOf, sent) }
 
-// take takes documents that were the newest at an instant. Older ones than those
-// in force are a late answer, and are not taken: what callers have seen in force
-// must not go back.
-func (dct *docsCtl) take(doc talk.Document, sent, now clock.Milli, from string) {
+// apply puts documents into force that were the newest at the instant sent. Older ones than those
+// in force come from a late answer and are ignored: callers must not see documents go back.
+func (dct *docsCtl) apply(doc talk.Document, sent, now clock.Milli, from string) {
 	if doc.Offset < dct.offset {
 		return
 	}
@@ -236,7 +238,7 @@
 	}
 	pln, faults := dct.ctl.set.Dialect.Compile(doc.Text)
 	for _, fault := range faults {
-		dct.ctl.set.Log.Error().Err(fault).Int64("offset", doc.Offset).Msg("a part of the documents can't be used")
+		dct.ctl.set.Log.Error().Err(fault).Int64("offset", doc.Offset).Msg("invalid part of the documents ignored")
 	}
 	if pln == nil {
 		return
@@ -249,72 +251,72 @@
 	dct.ctl.dirty = true
 }
 
-// dress adds the age of our documents to what we tell others.
-func (ctl *Control) dress(msg *peer.Message) {
-	msg.Left = ctl.endpts.lately()
-	msg.Up = ctl.endpts.up(ctl.set.Clock.Now())
+// attachState adds the state of this instance to an outgoing message: leaving endpoints, uptime of
+// the store, digest of the facts, and offset and age of the documents.
+func (ctl *Control) attachState(msg *peer.Message) {
+	msg.Left = ctl.endpts.leavingIDs()
+	msg.Up = ctl.endpts.uptime(ctl.set.Clock.Now())
 	msg.Digest = ctl.facts.spread.Digest()
 	if ctl.docs.plan != nil {
 		msg.Known, msg.Applied, msg.Age = true, ctl.docs.offset, ctl.set.Clock.Since(ctl.docs.asOf)
 	}
 }
 
-// heard takes what another instance told: leaving endpoints, and documents that
-// are as new as ours or newer. Only an answer's age can be used, since of it we
-// know how long it may have been under way.
-func (ctl *Control) heard(msg peer.Message, sent, now clock.Milli) {
+// receive applies what a message carries: leaving endpoints, facts, and documents that are as new
+// as ours or newer. Ages are used only from answers, since only their time in transit is bounded.
+func (ctl *Control) receive(msg peer.Message, sent, now clock.Milli) {
 	for _, id := range msg.Left {
-		ctl.endpts.heardLeaving(ident.Process(id), "told by another instance", now)
+		ctl.endpts.markLeaving(ident.Process(id), "reported by another instance", now)
 	}
-	ctl.facts.heard(msg, sent > 0, now)
+	ctl.facts.receive(msg, sent > 0, now)
 	if sent > 0 {
-		ctl.endpts.heardUpFor(msg.Up, sent)
+		ctl.endpts.recordOtherUptime(msg.Up, sent)
 	}
 	switch {
 	case !msg.Known:
 	case msg.Applied > ctl.docs.offset:
-		ctl.docs.askState(msg.From)
+		ctl.docs.fetchSnapshot(msg.From)
 	case msg.Applied == ctl.docs.offset && sent > 0:
 		ctl.docs.confirm(sent - msg.Age)
 	}
 }
 
-// shared is what one instance gives another that has older documents or none.
-type shared struct {
+// snapshot is the state that an instance sends to another one with older documents or none.
+type snapshot struct {
 	Offset    int64           `cbor:"1,keyasint"`
 	Text      []byte          `cbor:"2,keyasint"`
 	Age       clock.Milli     `cbor:"3,keyasint"`
 	Endpoints []talk.Endpoint `cbor:"4,keyasint"`
-	// Members are all that the other instance knows of.
+	// Members are all members that the sender knows.
 	Members []member.News `cbor:"5,keyasint,omitempty"`
 }
 
-// askState fetches another instance's documents.
-func (dct *docsCtl) askState(from ident.Incarnation) {
-	if dct.asking || dct.ctl.set.Link == nil {
+// fetchSnapshot fetches the state of another instance.
+func (dct *docsCtl) fetchSnapshot(from ident.Incarnation) {
+	if dct.fetching || dct.ctl.set.Link == nil {
 		return
 	}
-	dct.asking = true
+	dct.fetching = true
 	dct.ctl.loop.Go(func(ctx context.Context) {
-		actx, cancel := context.WithTimeout(ctx, stateWait)
+		actx, cancel := context.WithTimeout(ctx, stateTimeout)
 		defer cancel()
 		sent := dct.ctl.set.Clock.Now()
 		ans, err := dct.ctl.set.Link.Ask(actx, from.Addr(), peer.Message{Kind: peer.StateWanted, From: dct.ctl.set.Self, To: from})
 		dct.ctl.loop.Do(ctx, func(now clock.Milli) {
-			dct.asking = false
-			var shr shared
-			if err != nil || ans.Kind != peer.OK || cbor.Unmarshal(ans.Body, &shr) != nil {
+			dct.fetching = false
+			var snp snapshot
+			if err != nil || ans.Kind != peer.OK || cbor.Unmarshal(ans.Body, &snp) != nil {
 				return
 			}
-			dct.take(talk.Document{Offset: shr.Offset, Text: shr.Text}, sent-shr.Age, now, string(from))
-			dct.ctl.endpts.takeShared(shr.Endpoints)
-			dct.ctl.list.Learn(shr.Members, now)
-			dct.ctl.met.give()
+			dct.apply(talk.Document{Offset: snp.Offset, Text: snp.Text}, sent-snp.Age, now, string(from))
+			dct.ctl.endpts.applySnapshot(snp.Endpoints)
+			dct.ctl.list.Learn(snp.Members, now)
+			dct.ctl.membersLoaded.fire()
 		})
 	})
 }
 
-// Handle answers another instance; it is given to the link.
+// Handle answers a message of another instance; it is registered with the link.
 func (ctl *Control) Handle(ctx context.Context, msg peer.Message) peer.Message {
 	if msg.Kind == peer.Indirect {
 		return ctl.group.ProbeFor(ctx, msg)
@@ -326,7 +328,7 @@
 	return ans
 }
 
-// answer takes a message on the control thread.
+// answer answers a message on the control loop.
 func (ctl *Control) answer(msg peer.Message, now clock.Milli) peer.Message {
 	ctl.group.Learn(msg, 0, now)
 	switch msg.Kind {
@@ -337,7 +339,7 @@
 		ans.Facts = ctl.facts.spread.Missing(msg.Digest, now)
 		return ans
 	case peer.StateWanted:
-		return ctl.shareState(now)
+		return ctl.answerSnapshot(now)
 	case peer.Unlisted:
 		ctl.announceAgain()
 		return ctl.group.Message(peer.OK, msg.From)
@@ -347,11 +349,11 @@
 
 func (ctl *Control) nack() peer.Message { return peer.Message{Kind: peer.Nack, From: ctl.set.Self} }
 
-func (ctl *Control) shareState(now clock.Milli) peer.Message {
+func (ctl *Control) answerSnapshot(now clock.Milli) peer.Message {
 	if ctl.docs.plan == nil {
 		return peer.Message{Kind: peer.Nack, From: ctl.set.Self}
 	}
-	body, err := cbor.Marshal(shared{
+	body, err := cbor.Marshal(snapshot{
 		Offset: ctl.docs.offset, Text: ctl.docs.doc.Text, Age: now - ctl.docs.asOf, Endpoints: ctl.endpts.list,
 		Members: ctl.list.Everybody(),
 	})
--- a/internal/state/endpts.go
+++ b/internal/state/endpts.go
@@ -13,141 +13,141 @@
 )
 
 const (
-	// pollEvery is the time between two looks at the endpoints' entries. A
-	// leaving endpoint must get no work some two seconds after it said so.
-	pollEvery = 700 * time.Millisecond
-	// toldFor is how long after a reader's last word the store is left to it.
-	toldFor = 2500 * clock.Milli(1)
-	// backAfter is how long after an outage of the store entries that lapsed
-	// in it are waited for: their writers are back within two seconds, and our
-	// own look may be one poll late.
-	backAfter = 2800 * clock.Milli(1)
-	// leftFor is how long a leaving endpoint is passed on to others.
-	leftFor = 30 * clock.Second
-	// maxFaults bounds the lines on entries that can't be used, for each look at them.
-	maxFaults = 8
-	// maxLeft bounds the names in one message.
-	maxLeft = 32
+	// pollInterval is the time between two reads of the endpoint entries. A leaving endpoint must
+	// get no requests from some two seconds after it announced that.
+	pollInterval = 700 * time.Millisecond
+	// followGrace is how long after the last update of a reader the store is not read directly.
+	followGrace = 2500 * clock.Milli(1)
+	// lapsedGrace is how long after an outage of the store entries that expired during it are kept:
+	// endpoints renew them within two seconds, and our own read may come one interval later.
+	lapsedGrace = 2800 * clock.Milli(1)
+	// leavingRetention is how long a leaving endpoint is reported to other instances.
+	leavingRetention = 30 * clock.Second
+	// maxFaultLogs bounds the log lines on invalid entries for each read.
+	maxFaultLogs = 8
+	// maxLeavingIDs bounds the endpoint names in one message.
+	maxLeavingIDs = 32
 )
 
-// never is an instant after all others.
+// never is later than any instant.
 const never = clock.Milli(1 << 62)
 
-// endptsCtl keeps the endpoints.
+// endptsCtl owns the endpoints.
 type endptsCtl struct {
-	ctl  *Control
-	list []talk.Endpoint
-	left map[ident.Process]clock.Milli
-	// runs has the latest run of each endpoint that was listed lately.
+	ctl     *Control
+	list    []talk.Endpoint
+	leaving map[ident.Process]clock.Milli
+	// runs has the latest run of each endpoint that was listed recently.
 	runs runs
-	// upSince is since when the store has answered without a failure between.
+	// upSince is the instant since which the store has answered without a failure.
 	upSince clock.Milli
-	// upElse is since when it has answered another instance, as far as was told.
-	upElse clock.Milli
-	down   bool
-	seen   bool
-	faults map[string]bool
-	// followed is when a reader of the store last told us.
-	followed clock.Milli
+	// otherUpSince is the same as last reported by another instance.
+	otherUpSince clock.Milli
+	down         bool
+	loaded       bool
+	faults       map[string]bool
+	// followedAt is when the last update of a reader arrived.
+	followedAt clock.Milli
 }
 
-// poll reads the endpoints' entries. The first look comes when documents are known: both
-// at once would share the way to this instance, and without documents no endpoint is used.
+// poll reads the endpoint entries. It starts once documents are known: both reads at once would
+// share the bandwidth of this instance, and endpoints are of no use without documents.
 func (ect *endptsCtl) poll(ctx context.Context) {
 	known := func(vw *View) bool { return vw.plan != nil }
-	for ctx.Err() == nil && !known(ect.ctl.waitFor(ctx, pollEvery, known)) {
+	for ctx.Err() == nil && !known(ect.ctl.waitFor(ctx, pollInterval, known)) {
 		continue
 	}
 	for ctx.Err() == nil {
-		if ect.told(ctx) {
-			pause(ctx, pollEvery)
+		if ect.isFollowing(ctx) {
+			pause(ctx, pollInterval)
 			continue
 		}
-		list, faults, err := ect.ask(ctx)
-		if !ect.ctl.loop.Do(ctx, func(now clock.Milli) { ect.read(list, faults, err, now) }) {
+		list, faults, err := ect.fetch(ctx)
+		if !ect.ctl.loop.Do(ctx, func(now clock.Milli) { ect.applyRead(list, faults, err, now) }) {
 			return
 		}
-		pause(ctx, pollEvery)
+		pause(ctx, pollInterval)
 	}
 }
 
-// ask reads the entries, unless the store is down. An instance whose readers have no news
-// doesn't know whether it is before it has been answered itself.
-func (ect *endptsCtl) ask(ctx context.Context) ([]talk.Endpoint, []error, error) {
-	if ect.ctl.storeDown(ctx) || ect.ctl.View().silence(ect.ctl.set.Clock.Now()) > newsOld {
+// fetch reads the entries, unless the store is down. While no reader has updates, an instance that
+// has had no answer itself does not know whether the store is up.
+func (ect *endptsCtl) fetch(ctx context.Context) ([]talk.Endpoint, []error, error) {
+	if ect.ctl.storeDown(ctx) || ect.ctl.View().storeSilence(ect.ctl.set.Clock.Now()) > maxStoreSilence {
 		return nil, nil, errStoreDown
 	}
-	rctx, cancel := context.WithTimeout(ctx, readWait)
+	rctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	return ect.ctl.set.Store.Endpoints(rctx)
 }
 
-// listed tells whether the endpoints were read, or told by another instance.
-func (ect *endptsCtl) listed() bool { return ect.seen || len(ect.list) > 0 }
+// endpointsKnown reports whether endpoints were read, or received from another instance.
+func (ect *endptsCtl) endpointsKnown() bool { return ect.loaded || len(ect.list) > 0 }
 
-// up gives for how long the store has answered without a failure, zero if it doesn't.
-func (ect *endptsCtl) up(now clock.Milli) clock.Milli {
-	if ect.down || !ect.seen {
+// uptime returns for how long the store has answered without a failure, zero if it does not answer.
+func (ect *endptsCtl) uptime(now clock.Milli) clock.Milli {
+	if ect.down || !ect.loaded {
 		return 0
 	}
 	return now - ect.upSince
 }
 
-// heardUpFor notes for how long the store has answered another instance. An outage
-// that it knows nothing of was our own: what is missing after it is gone, and would
-// get work for seconds more if it were waited for.
-func (ect *endptsCtl) heardUpFor(span, now clock.Milli) {
+// recordOtherUptime records for how long the store has answered another instance. An outage that
+// the other one did not see was our own: endpoints missing after it are gone, and would otherwise
+// get requests for seconds more.
+func (ect *endptsCtl) recordOtherUptime(span, now clock.Milli) {
 	if span > 0 {
-		ect.upElse = now - span
+		ect.otherUpSince = now - span
 	}
 }
 
-// told tells whether a reader of the store has told us lately. That we didn't read
-// meanwhile is no outage: what a reader's list lacks is gone, and must not come back
-// for a while with the first list that we read ourselves.
-func (ect *endptsCtl) told(ctx context.Context) bool {
-	told, _ := loop.Get(ctx, ect.ctl.loop, ect.toldAt)
-	return told
+// isFollowing reports whether a reader has sent an update recently. Not reading the store meanwhile
+// is no outage: endpoints missing from a reader's list are gone, and must not come back with the
+// first list that this instance reads itself.
+func (ect *endptsCtl) isFollowing(ctx context.Context) bool {
+	following, _ := loop.Get(ctx, ect.ctl.loop, ect.followingAt)
+	return following
 }
 
-func (ect *endptsCtl) toldAt(now clock.Milli) bool {
-	told := now-ect.followed < toldFor
-	if told {
-		ect.seen, ect.down = true, false
+func (ect *endptsCtl) followingAt(now clock.Milli) bool {
+	following := now-ect.followedAt < followGrace
+	if following {
+		ect.loaded, ect.down = true, false
 	}
-	return told
+	return following
 }
 
-func (ect *endptsCtl) read(list []talk.Endpoint, faults []error, err error, now clock.Milli) {
-	ect.ctl.docs.told = listed{}
+func (ect *endptsCtl) applyRead(list []talk.Endpoint, faults []error, err error, now clock.Milli) {
+	ect.ctl.docs.fromReader = endpointList{}
 	if err != nil {
 		if !ect.down {
-			// What others said before speaks of no outage that begins now.
-			ect.upElse = never
+			// Uptimes reported earlier say nothing about an outage that begins now.
+			ect.otherUpSince = never
 		}
 		ect.down = true
 		return
 	}
-	if ect.down || !ect.seen {
+	if ect.down || !ect.loaded {
 		ect.upSince = now
 	}
 	// Requests may wait for the first list, also for an empty one.
-	ect.ctl.dirty = ect.ctl.dirty || !ect.seen
-	ect.down, ect.seen = false, true
-	ect.tellFaults(faults)
-	if now-min(ect.upSince, ect.upElse) < backAfter {
+	ect.ctl.dirty = ect.ctl.dirty || !ect.loaded
+	ect.down, ect.loaded = false, true
+	ect.logFaults(faults)
+	if now-min(ect.upSince, ect.otherUpSince) < lapsedGrace {
 		list = ect.withLapsed(list)
 	}
-	ect.take(list, now)
+	ect.apply(list, now)
 }
 
-// withLapsed adds what was known before and is missing from a list.
+// withLapsed adds the known endpoints that are missing from a list, except those whose address
+// another endpoint has taken.
 func (ect *endptsCtl) withLapsed(list []talk.Endpoint) []talk.Endpoint {
 	listed := map[string]bool{}
 	taken := map[string]bool{}
 	for _, ep := range list {
 		listed[ep.ID.Name()] = true
-		if ect.known(ep.Pool) {
+		if ect.isKnownPool(ep.Pool) {
 			taken[ep.Addr] = true
 		}
 	}
@@ -159,9 +159,9 @@
 	return list
 }
 
-// known tells whether a pool is one that the documents name. An entry of any other is not an
-// endpoint's, whatever address it has.
-func (ect *endptsCtl) known(pool string) bool {
+// isKnownPool reports whether the documents name a pool. An entry of any other pool is not one of
+// an endpoint, whatever its address.
+func (ect *endptsCtl) isKnownPool(pool string) bool {
 	pln := ect.ctl.docs.plan
 	if pln == nil {
 		return true
@@ -170,11 +170,11 @@
 	return ok
 }
 
-// take makes a list the endpoints that are known.
-func (ect *endptsCtl) take(list []talk.Endpoint, now clock.Milli) {
+// apply replaces the list of endpoints.
+func (ect *endptsCtl) apply(list []talk.Endpoint, now clock.Milli) {
 	list = ect.runs.latest(list, ect.list, now)
 	for i := range list {
-		if _, left := ect.left[list[i].ID]; left {
+		if _, left := ect.leaving[list[i].ID]; left {
 			list[i].Leaving = true
 		}
 	}
@@ -187,20 +187,20 @@
 	if slices.Equal(list, ect.list) {
 		return
 	}
-	ect.tell(list, now)
+	ect.logChanges(list, now)
 	ect.list = list
 	ect.ctl.dirty = true
 }
 
-// takeShared takes another instance's list if this one has none yet.
-func (ect *endptsCtl) takeShared(list []talk.Endpoint) {
-	if !ect.seen && len(ect.list) == 0 {
-		ect.take(list, ect.ctl.set.Clock.Now())
+// applySnapshot uses another instance's list if this one has none yet.
+func (ect *endptsCtl) applySnapshot(list []talk.Endpoint) {
+	if !ect.loaded && len(ect.list) == 0 {
+		ect.apply(list, ect.ctl.set.Clock.Now())
 	}
 }
 
-// tell writes down each endpoint that came, left or began to leave.
-func (ect *endptsCtl) tell(list []talk.Endpoint, now clock.Milli) {
+// logChanges logs each endpoint that was added, removed or began to leave.
+func (ect *endptsCtl) logChanges(list []talk.Endpoint, now clock.Milli) {
 	before, names := map[ident.Process]talk.Endpoint{}, map[string]bool{}
 	for _, ep := range ect.list {
 		before[ep.ID], names[ep.ID.Name()] = ep, true
@@ -219,51 +219,51 @@
 	}
 }
 
-// tellFaults counts each entry that can't be used once, and writes down the first of them.
-func (ect *endptsCtl) tellFaults(faults []error) {
+// logFaults counts each invalid entry once, and logs the first few.
+func (ect *endptsCtl) logFaults(faults []error) {
 	now := map[string]bool{}
-	told := 0
+	fresh := 0
 	for _, fault := range faults {
 		now[fault.Error()] = true
 		if ect.faults[fault.Error()] {
 			continue
 		}
 		ect.ctl.set.Meter.Event(meter.EventEntrySkipped)
-		if told++; told <= maxFaults {
-			ect.ctl.set.Log.Error().Err(fault).Msg("an entry that is no endpoint's is left out")
+		if fresh++; fresh <= maxFaultLogs {
+			ect.ctl.set.Log.Error().Err(fault).Msg("invalid endpoint entry skipped")
 		}
 	}
-	if told > maxFaults {
-		ect.ctl.set.Log.Error().Int("more", told-maxFaults).Msg("further entries that are no endpoint's are left out")
+	if fresh > maxFaultLogs {
+		ect.ctl.set.Log.Error().Int("more", fresh-maxFaultLogs).Msg("further invalid endpoint entries skipped")
 	}
 	ect.faults = now
 }
 
 func (ect *endptsCtl) step(now clock.Milli) {
-	for id, at := range ect.left {
-		if now-at > leftFor {
-			delete(ect.left, id)
+	for id, at := range ect.leaving {
+		if now-at > leavingRetention {
+			delete(ect.leaving, id)
 		}
 	}
 }
 
-// heardLeaving notes an endpoint that is leaving, whoever said so first, and
-// passes it on with the next probes: the store may lag or be down.
-func (ect *endptsCtl) heardLeaving(id ident.Process, why string, now clock.Milli) {
-	if _, ok := ect.left[id]; ok {
+// markLeaving records that an endpoint is leaving, whatever the source, and reports it to other
+// instances with the next probes: the store may lag or be down.
+func (ect *endptsCtl) markLeaving(id ident.Process, why string, now clock.Milli) {
+	if _, ok := ect.leaving[id]; ok {
 		return
 	}
-	ect.left[id] = now
+	ect.leaving[id] = now
 	ect.ctl.set.Log.Info().Str("endpoint", string(id)).Str("why", why).Msg("endpoint leaves")
-	ect.take(slices.Clone(ect.list), now)
+	ect.apply(slices.Clone(ect.list), now)
 }
 
-// lately lists the endpoints that were heard to be leaving.
-func (ect *endptsCtl) lately() []string {
-	ids := make([]string, 0, len(ect.left))
-	for id := range ect.left {
+// leavingIDs returns the endpoints that are known to be leaving.
+func (ect *endptsCtl) leavingIDs() []string {
+	ids := make([]string, 0, len(ect.leaving))
+	for id := range ect.leaving {
 		ids = append(ids, string(id))
 	}
 	slices.Sort(ids)
-	return ids[:min(len(ids), maxLeft)]
+	return ids[:min(len(ids), maxLeavingIDs)]
 }
--- a/internal/state/endpts_test.go
+++ b/internal/state/endpts_test.go
@@ -35,94 +35,87 @@
 	return ids
 }
 
-// TestGoneStayGoneAfterFollowing: an instance is told of the endpoints by a reader,
-// and one of them leaves. The reader is lost, and the instance reads the store
-// itself. What is missing there is gone: taken for lapsed, the endpoint would get
-// work for seconds after it left.
+// Guards against endpoints that come back when an instance stops following a reader and reads the
+// store itself: taken for lapsed, an endpoint that left would get requests for seconds more.
 func TestGoneStayGoneAfterFollowing(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	ect := newEndpts()
-	ect.take(list("a", "b"), 0)
-	ect.followed = 9000
-	gom.Expect(ect.toldAt(10000)).To(gomega.BeTrue())
-	ect.followed = 0
-	gom.Expect(ect.toldAt(10100)).To(gomega.BeFalse())
-	ect.read(list("a"), nil, nil, 10200)
+	ect.apply(list("a", "b"), 0)
+	ect.followedAt = 9000
+	gom.Expect(ect.followingAt(10000)).To(gomega.BeTrue())
+	ect.followedAt = 0
+	gom.Expect(ect.followingAt(10100)).To(gomega.BeFalse())
+	ect.applyRead(list("a"), nil, nil, 10200)
 	gom.Expect(names(ect.list)).To(gomega.Equal([]string{"a"}))
 }
 
-// TestLapsedAreWaitedFor: the store is down for a while and drops the entries of
-// endpoints that could not write meanwhile. They answer as ever. Right after its
-// return they are not taken to be gone; those that are still missing after the time
-// in which the living write again are.
-func TestLapsedAreWaitedFor(t *testing.T) {
+// Guards against dropping endpoints whose entries expired during an outage of the store. They are
+// kept right after it, and dropped once the time for renewing entries has passed.
+func TestLapsedEntriesAreKept(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	ect := newEndpts()
-	ect.read(list("a", "b", "c"), nil, nil, 0)
-	ect.read(list("a", "b", "c"), nil, nil, backAfter)
-	ect.read(nil, nil, errors.New("down"), 5000)
-	ect.read(list("a"), nil, nil, 10000)
+	ect.applyRead(list("a", "b", "c"), nil, nil, 0)
+	ect.applyRead(list("a", "b", "c"), nil, nil, lapsedGrace)
+	ect.applyRead(nil, nil, errors.New("down"), 5000)
+	ect.applyRead(list("a"), nil, nil, 10000)
 	gom.Expect(names(ect.list)).To(gomega.Equal([]string{"a", "b", "c"}))
-	ect.read(list("a", "b"), nil, nil, 12000)
+	ect.applyRead(list("a", "b"), nil, nil, 12000)
 	gom.Expect(names(ect.list)).To(gomega.Equal([]string{"a", "b", "c"}))
-	ect.read(list("a", "b"), nil, nil, 10000+backAfter)
+	ect.applyRead(list("a", "b"), nil, nil, 10000+lapsedGrace)
 	gom.Expect(names(ect.list)).To(gomega.Equal([]string{"a", "b"}))
 }
 
-// TestOwnOutageKeepsNothing: an instance is cut off for a while, from the store and all
-// others, and an endpoint leaves meanwhile. Back in touch, it hears from another one
-// that the store has been up all the while: the outage was its own, and what is
-// missing is gone. Waited for, the endpoint would get work three seconds after it left.
-func TestOwnOutageKeepsNothing(t *testing.T) {
+// Guards against keeping an endpoint that left while only this instance was cut off. Once another
+// instance reports that the store was up throughout, the missing endpoint is gone; kept as lapsed,
+// it would get requests for three seconds more.
+func TestOwnOutageKeepsNoEndpoints(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	ect := newEndpts()
-	ect.read(list("a", "b"), nil, nil, 0)
-	ect.heardUpFor(1000, 4000)
-	ect.read(nil, nil, errors.New("cut off"), 5000)
-	ect.read(list("a"), nil, nil, 10000)
-	gom.Expect(names(ect.list)).To(gomega.Equal([]string{"a", "b"}), "what was said before the outage tells nothing of it")
-	ect.heardUpFor(9000, 10100)
-	ect.read(list("a"), nil, nil, 10200)
+	ect.applyRead(list("a", "b"), nil, nil, 0)
+	ect.recordOtherUptime(1000, 4000)
+	ect.applyRead(nil, nil, errors.New("cut off"), 5000)
+	ect.applyRead(list("a"), nil, nil, 10000)
+	gom.Expect(names(ect.list)).To(gomega.Equal([]string{"a", "b"}), "an uptime reported before the outage says nothing about it")
+	ect.recordOtherUptime(9000, 10100)
+	ect.applyRead(list("a"), nil, nil, 10200)
 	gom.Expect(names(ect.list)).To(gomega.Equal([]string{"a"}))
 }
 
-// TestReplacedDontComeBack: while the store was down an endpoint died and another
-// one took its address. The dead one's line is not kept beside it.
+// Guards against keeping the entry of an endpoint that died during an outage beside that of the one
+// that took over its address.
 func TestReplacedDontComeBack(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	ect := newEndpts()
-	ect.read(list("a"), nil, nil, 0)
-	ect.read(nil, nil, errors.New("down"), 5000)
-	ect.read([]talk.Endpoint{{ID: "new", Addr: "a", Pool: "q"}}, nil, nil, 6000)
+	ect.applyRead(list("a"), nil, nil, 0)
+	ect.applyRead(nil, nil, errors.New("down"), 5000)
+	ect.applyRead([]talk.Endpoint{{ID: "new", Addr: "a", Pool: "q"}}, nil, nil, 6000)
 	gom.Expect(names(ect.list)).To(gomega.Equal([]string{"new"}))
 }
 
-// TestLeavingStays: an endpoint was heard to be leaving. The store's list lags and
-// calls it ready; it stays leaving here.
+// Guards against a leaving endpoint that becomes ready again through an outdated list of the store.
 func TestLeavingStays(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	ect := newEndpts()
-	ect.read(list("a"), nil, nil, 0)
-	ect.heardLeaving("a", "test", 100)
-	ect.read(list("a"), nil, nil, 700)
+	ect.applyRead(list("a"), nil, nil, 0)
+	ect.markLeaving("a", "test", 100)
+	ect.applyRead(list("a"), nil, nil, 700)
 	gom.Expect(ect.list[0].Leaving).To(gomega.BeTrue())
-	gom.Expect(ect.lately()).To(gomega.Equal([]string{"a"}))
-	ect.step(100 + leftFor + 1)
-	gom.Expect(ect.lately()).To(gomega.BeEmpty())
+	gom.Expect(ect.leavingIDs()).To(gomega.Equal([]string{"a"}))
+	ect.step(100 + leavingRetention + 1)
+	gom.Expect(ect.leavingIDs()).To(gomega.BeEmpty())
 }
 
-// TestDocumentsNeverGoBack: a read that was under way for long brings an older
-// document after a newer one. It is not taken.
+// Guards against an older document, returned by a slow read, that replaces a newer one.
 func TestDocumentsNeverGoBack(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	ect := newEndpts()
 	dct := &ect.ctl.docs
 	ect.ctl.set.Dialect = &talk.Dialect{Compile: compileNothing}
-	dct.take(talk.Document{Offset: 7, Text: []byte("new")}, 100, 120, "store")
-	dct.take(talk.Document{Offset: 5, Text: []byte("old")}, 200, 220, "store")
+	dct.apply(talk.Document{Offset: 7, Text: []byte("new")}, 100, 120, "store")
+	dct.apply(talk.Document{Offset: 5, Text: []byte("old")}, 200, 220, "store")
 	gom.Expect(dct.offset).To(gomega.Equal(int64(7)))
 	gom.Expect(dct.asOf).To(gomega.Equal(clock.Milli(100)), "an older document confirms nothing")
-	dct.take(talk.Document{Offset: 7, Text: []byte("new")}, 300, 320, "store")
+	dct.apply(talk.Document{Offset: 7, Text: []byte("new")}, 300, 320, "store")
 	gom.Expect(dct.asOf).To(gomega.Equal(clock.Milli(300)))
 }
 
--- a/internal/state/facts.go
+++ b/internal/state/facts.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// tellAfter is how long facts are gathered for one message: an endpoint that ends is seen
-	// to by all instances that have requests there, within the way between data centres.
-	tellAfter = 5 * time.Millisecond
-	// tellWait bounds the message.
-	tellWait = time.Second
+	// batchDelay is how long facts are collected for one message: the crash of an endpoint is seen
+	// by all instances with requests there within the latency between data centres.
+	batchDelay = 5 * time.Millisecond
+	// factsTimeout bounds the sending of facts and the recording of a crash.
+	factsTimeout = time.Second
 )
 
-// factsCtl keeps the facts that instances tell one another.
+// factsCtl owns the facts that instances spread by gossip.
 type factsCtl struct {
 	ctl    *Control
 	spread rumor.Spread
-	// telling tells that fresh facts will be told in a moment.
-	telling  bool
-	suspects *poison.List
-	rates    map[ident.Process]rate
-	evicted  int
-	kept     kept
+	// flushPending is set while new facts wait to be sent.
+	flushPending bool
+	suspects     *poison.List
+	rates        map[ident.Process]rate
+	evicted      int
+	stored       storedState
 }
 
 func newFacts(ctl *Control) factsCtl {
@@ -40,45 +40,45 @@
 	return fcl
 }
 
-// step drops what is too old.
+// step drops expired facts, and writes those for the store.
 func (fcl *factsCtl) step(now clock.Milli) {
 	if fcl.spread.Expire(now) {
-		fcl.read(now)
+		fcl.refresh(now)
 	}
-	fcl.keep(now)
+	fcl.writeStored(now)
 }
 
-// heard takes what another instance told. One whose answer shows that it knows other things
-// is told what this one knows.
-func (fcl *factsCtl) heard(msg peer.Message, answers bool, now clock.Milli) {
+// receive merges the facts of a message. If it is an answer whose digest differs from ours, our
+// facts are sent to the other instance.
+func (fcl *factsCtl) receive(msg peer.Message, answers bool, now clock.Milli) {
 	if fcl.spread.Told(msg.Facts, fcl.ctl.list.IsMesh(), now) {
-		fcl.read(now)
-		fcl.tell()
+		fcl.refresh(now)
+		fcl.scheduleFlush()
 	}
 	if answers {
 		fcl.send(msg.From, fcl.spread.Missing(msg.Digest, now))
 	}
 }
 
-// learned takes facts that this instance has learned by itself.
-func (fcl *factsCtl) learned(fresh []rumor.Fact, now clock.Milli) {
+// addLocal adds facts that this instance found out itself.
+func (fcl *factsCtl) addLocal(fresh []rumor.Fact, now clock.Milli) {
 	if len(fresh) == 0 {
 		return
 	}
 	fcl.spread.Learned(fresh...)
-	fcl.read(now)
-	fcl.tell()
+	fcl.refresh(now)
+	fcl.scheduleFlush()
 }
 
-// read makes of the facts what traffic goes by.
-func (fcl *factsCtl) read(now clock.Milli) {
+// refresh derives the rates and suspects that requests use from the facts.
+func (fcl *factsCtl) refresh(now clock.Milli) {
 	if rates := readRates(fcl.spread.All(rumor.NamedRate, now), now); !maps.Equal(rates, fcl.rates) {
 		fcl.rates = rates
-		fcl.ctl.rated = true
+		fcl.ctl.ratesChanged = true
 	}
 	before := fcl.suspects
 	fcl.suspects = poison.Read(fcl.spread.All(rumor.EndedUnder, now), now)
-	fcl.kept.wanted = rumor.Digest(fcl.keeps(now))
+	fcl.stored.wanted = rumor.Digest(fcl.quarantineFacts(now))
 	for _, mrk := range fcl.suspects.Newly(before, now) {
 		evt := fcl.ctl.set.Log.Warn().Stringer("mark", mrk)
 		for _, end := range fcl.suspects.Ends(mrk) {
@@ -91,20 +91,20 @@
 	}
 }
 
-// tell has fresh facts told to the neighbours in a moment.
-func (fcl *factsCtl) tell() {
-	if fcl.telling || !fcl.spread.Waiting() {
+// scheduleFlush has new facts sent to the neighbours after [batchDelay].
+func (fcl *factsCtl) scheduleFlush() {
+	if fcl.flushPending || !fcl.spread.Waiting() {
 		return
 	}
-	fcl.telling = true
+	fcl.flushPending = true
 	fcl.ctl.loop.Go(func(ctx context.Context) {
-		pause(ctx, tellAfter)
+		pause(ctx, batchDelay)
 		fcl.ctl.loop.Do(ctx, func(clock.Milli) { fcl.flush() })
 	})
 }
 
 func (fcl *factsCtl) flush() {
-	fcl.telling = false
+	fcl.flushPending = false
 	for _, part := range fcl.spread.Flush() {
 		for _, who := range fcl.ctl.list.Neighbours() {
 			fcl.send(who, part)
@@ -112,7 +112,7 @@
 	}
 }
 
-// send sends facts to another instance. A message that is lost is made up for at the next probe.
+// send sends facts to another instance. A lost message is made up for at the next probe.
 func (fcl *factsCtl) send(who ident.Incarnation, list []rumor.Fact) {
 	ctl := fcl.ctl
 	if ctl.set.Link == nil || len(list) == 0 {
@@ -120,48 +120,49 @@
 	}
 	msg := peer.Message{Kind: peer.FactsTold, From: ctl.set.Self, To: who, Facts: list}
 	ctl.loop.Go(func(ctx context.Context) {
-		actx, cancel := context.WithTimeout(ctx, tellWait)
+		actx, cancel := context.WithTimeout(ctx, factsTimeout)
 		defer cancel()
 		_, _ = ctl.set.Link.Ask(actx, who.Addr(), msg)
 	})
 }
 
-// note takes a fact on the end of an endpoint that this instance has learned by itself.
-func (fcl *factsCtl) note(key, value string, now clock.Milli) {
+// recordCrash adds a fact on the crash of an endpoint that this instance found out itself.
+func (fcl *factsCtl) recordCrash(key, value string, now clock.Milli) {
 	if fct, ok := fcl.spread.Set(rumor.EndedUnder, key, value, now); ok {
-		fcl.learned([]rumor.Fact{fct}, now)
+		fcl.addLocal([]rumor.Fact{fct}, now)
 	}
 }
 
-// EndedUnder is told by traffic that an endpoint ended while it had a request.
+// EndedUnder records that an endpoint crashed while it processed a request with this fingerprint.
 func (ctl *Control) EndedUnder(mrk poison.Mark, id ident.Process) {
-	ctx, cancel := context.WithTimeout(context.Background(), tellWait)
+	ctx, cancel := context.WithTimeout(context.Background(), factsTimeout)
 	defer cancel()
-	ctl.loop.Do(ctx, func(now clock.Milli) { ctl.facts.note(poison.Key(mrk, id), ctl.set.Self.Addr(), now) })
+	ctl.loop.Do(ctx, func(now clock.Milli) { ctl.facts.recordCrash(poison.Key(mrk, id), ctl.set.Self.Addr(), now) })
 }
 
-// RanWhole is told by traffic that an endpoint has run a suspected request to its end.
+// RanWhole records that an endpoint has completed a request with a suspected fingerprint.
 func (ctl *Control) RanWhole(mrk poison.Mark) {
 	ctl.loop.Offer(func(now clock.Milli) {
-		ctl.facts.learned(poison.Clear(&ctl.facts.spread.Table, ctl.facts.suspects, mrk, now), now)
+		ctl.facts.addLocal(poison.Clear(&ctl.facts.spread.Table, ctl.facts.suspects, mrk, now), now)
 	})
 }
 
-// BeginTrial counts an end under a request whose quarantine is over, before it is sent to any
-// endpoint, so that no other instance lets it in beside this one. False if another one has.
+// BeginTrial admits a request whose quarantine is over. It records a crash before the request is
+// sent to any endpoint, so that no other instance admits it at the same time. It reports false if
+// another one already has.
 func (ctl *Control) BeginTrial(mrk poison.Mark, attempt ident.Process) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), tellWait)
+	ctx, cancel := context.WithTimeout(context.Background(), factsTimeout)
 	defer cancel()
 	began := false
 	done := ctl.loop.Do(ctx, func(now clock.Milli) {
 		if began = ctl.facts.suspects.Quarantined(mrk, now) == 0; began {
-			ctl.facts.note(poison.Key(mrk, attempt), ctl.set.Self.Addr(), now)
+			ctl.facts.recordCrash(poison.Key(mrk, attempt), ctl.set.Self.Addr(), now)
 		}
 	})
 	return done && began
 }
 
-// CancelTrial takes the end of a trial back: nothing ran, or the endpoint goes on.
+// CancelTrial withdraws the crash recorded by BeginTrial: nothing ran, or the endpoint goes on.
 func (ctl *Control) CancelTrial(mrk poison.Mark, attempt ident.Process) {
-	ctl.loop.Offer(func(now clock.Milli) { ctl.facts.note(poison.Key(mrk, attempt), poison.Cleared, now) })
+	ctl.loop.Offer(func(now clock.Milli) { ctl.facts.recordCrash(poison.Key(mrk, attempt), poison.Cleared, now) })
 }
--- a/internal/state/follow.go
+++ b/internal/state/follow.go
@@ -17,42 +17,40 @@
 )
 
 const (
-	// newsHold is how long a reader waits for a change before it answers.
-	newsHold = 500 * time.Millisecond
-	// newsShare is the part of the time for which tokens are honoured that a reader waits at
-	// the most.
-	newsShare = 0.1
-	// newsOld is how long a reader may have heard nothing from the store to be of
-	// use to others: its way there may be lost, while theirs is not. The store
-	// answers it every holdFor, and as much later as it is slow. With newsHold and the
-	// time until a silent reader is left, a follower is told by somebody else some 1.2 s
-	// after its reader last heard the store, well within the two seconds in which a change
-	// must be in force.
-	newsOld = 1000 * clock.Milli(1)
-	// readerSilent is how long a reader that failed is not asked.
-	readerSilent = 3 * clock.Second
+	// updateHold is how long a reader waits for a change before it answers.
+	updateHold = 500 * time.Millisecond
+	// updateHoldShare is the largest part of the time for which tokens are accepted that a reader
+	// waits.
+	updateHoldShare = 0.1
+	// maxStoreSilence is how long a reader may have had no answer from the store before followers
+	// leave it: its path to the store may be broken while theirs is not. The store answers it every
+	// watchHold, and later by its delay. Together with updateHold and the time until a silent
+	// reader is left, a follower gets updates from another source some 1.2 s after its reader's
+	// last answer, well within the two seconds in which a change must be in force.
+	maxStoreSilence = 1000 * clock.Milli(1)
+	// readerBackoff is how long a reader that failed is not asked.
+	readerBackoff = 3 * clock.Second
 )
 
 var (
-	errOldNews = errors.New("the reader hears nothing from the store")
-	errNoNews  = errors.New("the reader has nothing to tell")
+	errReaderStale = errors.New("the reader has no recent answer from the store")
+	errNoUpdate    = errors.New("the reader returned no update")
 )
 
-// news is a reader's answer.
-type news struct {
+// update is a reader's answer.
+type update struct {
 	Offset int64 `cbor:"1,keyasint"`
-	// Text is there if the asker's documents are older.
+	// Text is set if the follower's documents are older.
 	Text []byte `cbor:"2,keyasint,omitempty"`
-	// Age is how old the reader's view was when it answered, Held how long it
-	// had waited before.
+	// Age is how old the reader's view was when it answered, Held how long it had held the request.
 	Age  clock.Milli `cbor:"3,keyasint"`
 	Held clock.Milli `cbor:"4,keyasint"`
-	// Silent is how long the reader had heard nothing from the store, beyond what a slow
-	// one takes.
-	Silent clock.Milli `cbor:"7,keyasint"`
-	// Listed tells that Endpoints are there, since they are others than the asker was
-	// told of: all of them, or, if Changed, those that are new or different and the
-	// names of those that are gone. Digest names the whole list.
+	// StoreSilence is how long the store has not answered the reader, beyond the delay of a slow
+	// one.
+	StoreSilence clock.Milli `cbor:"7,keyasint"`
+	// Listed is set if the reader's endpoints differ from those that the follower last received.
+	// Endpoints then holds all of them or, if Changed is set, only new and modified ones, and Gone
+	// the names of removed ones. Digest identifies the full list.
 	Listed    bool            `cbor:"5,keyasint,omitempty"`
 	Endpoints []talk.Endpoint `cbor:"6,keyasint,omitempty"`
 	Changed   bool            `cbor:"8,keyasint,omitempty"`
@@ -60,26 +58,26 @@
 	Digest    uint64          `cbor:"10,keyasint,omitempty"`
 }
 
-// wanted is what a follower says of itself: its documents, and the list of endpoints
-// that a reader told it last. Its own list may differ, for it may have heard sooner of
-// endpoints that leave; asked by that, a reader would have news for it all the time.
-type wanted struct {
+// updateRequest describes what a follower has: the offset of its documents, and the list of
+// endpoints last received from a reader. Its own list may differ from that, since it may learn
+// earlier of leaving endpoints; compared with its own list, a reader would always have an update.
+type updateRequest struct {
 	Offset int64  `cbor:"1,keyasint"`
 	Digest uint64 `cbor:"2,keyasint"`
-	// Patient tells that the asker has nowhere else to go: while the store is silent it is
-	// answered as late as others, and so knows of its return within that time.
+	// Patient is set if the follower has no other source. While the store is silent such a request
+	// is held as long as any other, and so the follower learns within that time that it is back.
 	Patient bool `cbor:"3,keyasint,omitempty"`
 }
 
-// follow asks a reader for the next change, and takes it.
+// follow requests the next update from a reader, and applies it.
 func (dct *docsCtl) follow(ctx context.Context, who ident.Incarnation, patiently bool) error {
 	ctl := dct.ctl
-	wnt, ok := loop.Get(ctx, ctl.loop, func(clock.Milli) wanted { return dct.wanted() })
+	req, ok := loop.Get(ctx, ctl.loop, func(clock.Milli) updateRequest { return dct.updateRequest() })
 	if !ok {
 		return ctx.Err()
 	}
-	wnt.Patient = patiently
-	body, err := cbor.Marshal(wnt)
+	req.Patient = patiently
+	body, err := cbor.Marshal(req)
 	if err != nil {
 		return err
 	}
@@ -88,84 +86,89 @@
 	if err != nil {
 		return err
 	}
-	var nws news
-	if ans.Kind != peer.OK || cbor.Unmarshal(ans.Body, &nws) != nil {
-		return errNoNews
+	var upd update
+	if ans.Kind != peer.OK || cbor.Unmarshal(ans.Body, &upd) != nil {
+		return errNoUpdate
 	}
-	if nws.Silent > newsOld {
-		return errOldNews
+	if upd.StoreSilence > maxStoreSilence {
+		return errReaderStale
 	}
-	// The reader answered no sooner than it had held the question.
-	asOf := sent + nws.Held - nws.Age
+	// The reader answered no earlier than it had held the request.
+	asOf := sent + upd.Held - upd.Age
 	ctl.loop.Do(ctx, func(now clock.Milli) {
 		switch {
-		case nws.Text != nil:
-			dct.take(talk.Document{Offset: nws.Offset, Text: nws.Text}, asOf, now, string(who))
-		case nws.Offset == dct.offset:
+		case upd.Text != nil:
+			dct.apply(talk.Document{Offset: upd.Offset, Text: upd.Text}, asOf, now, string(who))
+		case upd.Offset == dct.offset:
 			dct.confirm(asOf)
 		}
-		if nws.Listed && !dct.told.take(nws) {
-			ctl.set.Log.Info().Str("reader", string(who)).Int("changes", len(nws.Endpoints)+len(nws.Gone)).Msg("changes of another list of endpoints dropped")
+		if upd.Listed && !dct.fromReader.apply(upd) {
+			ctl.set.Log.Info().Str("reader", string(who)).Int("changes", len(upd.Endpoints)+len(upd.Gone)).Msg("endpoint changes relative to another list dropped")
 			return
 		}
-		if nws.Listed {
-			ctl.endpts.take(slices.Clone(dct.told.List), now)
+		if upd.Listed {
+			ctl.endpts.apply(slices.Clone(dct.fromReader.List), now)
 		}
-		ctl.endpts.followed = now
+		ctl.endpts.followedAt = now
 	})
 	return nil
 }
 
-func (dct *docsCtl) wanted() wanted { return wanted{Offset: dct.offset, Digest: dct.told.Digest} }
+func (dct *docsCtl) updateRequest() updateRequest {
+	return updateRequest{Offset: dct.offset, Digest: dct.fromReader.Digest}
+}
 
-// Tell answers a follower; it is given to the link.
+// Tell answers a follower; it is registered with the link.
 func (ctl *Control) Tell(ctx context.Context, msg peer.Message) peer.Message {
 	ans := peer.Message{Kind: peer.Nack, From: ctl.set.Self}
-	var wnt wanted
-	if cbor.Unmarshal(msg.Body, &wnt) != nil {
+	var req updateRequest
+	if cbor.Unmarshal(msg.Body, &req) != nil {
 		return ans
 	}
 	began := ctl.set.Clock.Now()
-	hold := ctl.capped(clock.FromDuration(newsHold), newsShare)
+	hold := ctl.capped(clock.FromDuration(updateHold), updateHoldShare)
 	vw := ctl.waitFor(ctx, hold.Duration(), func(vw *View) bool {
-		// Who hears nothing from the store says so at once: the follower goes elsewhere.
-		silent := !wnt.Patient && vw.silence(ctl.set.Clock.Now()) > newsOld
-		return silent || vw.offset > wnt.Offset || vw.news(wnt)
+		// A reader without answers from the store says so at once: the follower goes elsewhere.
+		silent := !req.Patient && vw.storeSilence(ctl.set.Clock.Now()) > maxStoreSilence
+		return silent || vw.offset > req.Offset || vw.hasUpdate(req)
 	})
 	now := ctl.set.Clock.Now()
-	if vw.heard == 0 && vw.plan == nil {
+	if vw.answeredAt == 0 && vw.plan == nil {
 		return ans
 	}
-	nws := news{Offset: vw.offset, Age: vw.Age(now), Held: now - began, Silent: vw.silence(now)}
-	if vw.offset > wnt.Offset {
-		nws.Text = vw.text
+	upd := update{Offset: vw.offset, Age: vw.Age(now), Held: now - began, StoreSilence: vw.storeSilence(now)}
+	if vw.offset > req.Offset {
+		upd.Text = vw.text
 	}
-	if vw.news(wnt) {
-		nws.list(vw, wnt.Digest)
+	if vw.hasUpdate(req) {
+		upd.fillEndpoints(vw, req.Digest)
 	}
-	if body, err := cbor.Marshal(nws); err == nil {
+	if body, err := cbor.Marshal(upd); err == nil {
 		ans.Kind, ans.Body = peer.OK, body
 	}
 	return ans
 }
 
-// news tells whether the view has another list of endpoints than a follower was told. A reader
-// that has just started has none yet, which doesn't mean that there are no endpoints: told so, a
-// follower that had read them itself lost all of them, and refused what came.
-func (vw *View) news(wnt wanted) bool { return vw.listed && vw.digest != wnt.Digest }
+// hasUpdate reports whether the view has another list of endpoints than a follower last received. A
+// reader that has just started has no list yet, which does not mean that there are no endpoints:
+// sent an empty list, a follower that had read the endpoints itself lost all of them and refused
+// requests.
+func (vw *View) hasUpdate(req updateRequest) bool {
+	return vw.endpointsKnown && vw.digest != req.Digest
+}
 
-// waitFor waits for a view that is wanted, for a span at the most.
+// waitFor waits up to a span for a view that satisfies a condition, and returns the latest view.
 func (ctl *Control) waitFor(ctx context.Context, span time.Duration, want func(vw *View) bool) *View {
 	tmr := time.NewTimer(span)
 	defer tmr.Stop()
 	for {
-		turned := *ctl.turned.Load()
+		changed := *ctl.viewChanged.Load()
 		vw := ctl.View()
 		if want(vw) {
 			return vw
 		}
 		select {
-		case <-turned:
+		case <-changed:
 		case <-tmr.C:
 			return ctl.View()
 		case <-ctx.Done():
@@ -174,23 +177,23 @@
 	}
 }
 
-// silence remembers which readers failed, and until when they are not asked.
-type silence struct {
+// backoffs records which readers failed, and until when they are not asked.
+type backoffs struct {
 	mtx  sync.Mutex
 	ends map[ident.Incarnation]clock.Milli
 }
 
-func (sln *silence) until(who ident.Incarnation) clock.Milli {
-	sln.mtx.Lock()
-	defer sln.mtx.Unlock()
-	return sln.ends[who]
+func (bko *backoffs) until(who ident.Incarnation) clock.Milli {
+	bko.mtx.Lock()
+	defer bko.mtx.Unlock()
+	return bko.ends[who]
 }
 
-func (sln *silence) add(who ident.Incarnation, end clock.Milli) {
-	sln.mtx.Lock()
-	defer sln.mtx.Unlock()
-	if sln.ends == nil {
-		sln.ends = map[ident.Incarnation]clock.Milli{}
+func (bko *backoffs) add(who ident.Incarnation, end clock.Milli) {
+	bko.mtx.Lock()
+	defer bko.mtx.Unlock()
+	if bko.ends == nil {
+		bko.ends = map[ident.Incarnation]clock.Milli{}
 	}
-	sln.ends[who] = end
+	bko.ends[who] = end
 }
--- a/internal/state/lists.go
+++ b/internal/state/lists.go
@@ -11,18 +11,18 @@
 	"amaranthvalve/pkg/ident"
 )
 
-// pastMost is how many lists of endpoints a reader remembers, to tell followers what has
-// changed since: they ask twice a second, and in a busy second some dozen endpoints come
-// and go. At 3,000 endpoints a whole list is 240 KB for each follower, a change 100 B.
-const pastMost = 16
+// maxPastLists is how many earlier lists of endpoints a reader keeps to compute changes for
+// followers: they ask twice a second, and in a busy second some dozen endpoints come and go. At
+// 3,000 endpoints a full list is 240 KB for each follower, a change 100 B.
+const maxPastLists = 16
 
-// listed is a list of endpoints with the digest that names it.
-type listed struct {
+// endpointList is a list of endpoints with the digest that identifies it.
+type endpointList struct {
 	Digest uint64
 	List   []talk.Endpoint
 }
 
-// digest names a list of endpoints.
+// digest identifies a list of endpoints.
 func digest(list []talk.Endpoint) uint64 {
 	sum := xxhash.New()
 	for _, ep := range list {
@@ -34,67 +34,66 @@
 	return sum.Sum64()
 }
 
-// remember adds the list of a view that is replaced to those of the past.
-func remember(past []listed, last listed) []listed {
+// appendPast adds the list of a replaced view to the earlier lists.
+func appendPast(past []endpointList, last endpointList) []endpointList {
 	past = append(slices.Clone(past), last)
-	return past[max(0, len(past)-pastMost):]
+	return past[max(0, len(past)-maxPastLists):]
 }
 
-// list fills in a view's endpoints for somebody who has the list that a digest names.
-func (nws *news) list(vw *View, has uint64) {
-	nws.Listed, nws.Digest, nws.Endpoints = true, vw.digest, vw.endpoints
-	at := slices.IndexFunc(vw.past, func(lst listed) bool { return lst.Digest == has })
+// fillEndpoints sets an update's endpoints for a follower whose list has the given digest.
+func (upd *update) fillEndpoints(vw *View, has uint64) {
+	upd.Listed, upd.Digest, upd.Endpoints = true, vw.digest, vw.endpoints
+	at := slices.IndexFunc(vw.pastLists, func(lst endpointList) bool { return lst.Digest == has })
 	if at < 0 {
 		return
 	}
-	nws.Changed, nws.Endpoints = true, nil
+	upd.Changed, upd.Endpoints = true, nil
 	before := map[ident.Process]talk.Endpoint{}
-	for _, ep := range vw.past[at].List {
+	for _, ep := range vw.pastLists[at].List {
 		before[ep.ID] = ep
 	}
 	for _, ep := range vw.endpoints {
 		if old, ok := before[ep.ID]; !ok || old != ep {
-			nws.Endpoints = append(nws.Endpoints, ep)
+			upd.Endpoints = append(upd.Endpoints, ep)
 		}
 		delete(before, ep.ID)
 	}
 	for id := range before {
-		nws.Gone = append(nws.Gone, string(id))
+		upd.Gone = append(upd.Gone, string(id))
 	}
-	slices.Sort(nws.Gone)
+	slices.Sort(upd.Gone)
 }
 
-// take makes the list the one that news tell of; false if they don't lead to it, and then
-// nothing is known and the whole list is asked for next.
+// apply replaces the list by the one that an update leads to. It reports false if the digests
+// differ; the list is then empty, and the next update is a full one.
 //
-// News may tell changes of another list than ours: while a question is held at a reader,
-// this instance may read the store itself and begin anew. Changes of a list that it has
-// no more, taken for the list, left it with the one endpoint that had changed: all others
-// were gone for seconds, and nearly every request was refused. The digest tells.
-func (lst *listed) take(nws news) bool {
-	list := nws.Endpoints
-	if nws.Changed {
-		list = lst.changed(nws)
+// The changes may be relative to another list than ours: while a request is held at a reader, this
+// instance may read the store itself and start over. Applied without checking the digest, such
+// changes left only the one changed endpoint, and nearly every request was refused for seconds.
+func (lst *endpointList) apply(upd update) bool {
+	list := upd.Endpoints
+	if upd.Changed {
+		list = lst.patched(upd)
 	}
-	if digest(list) != nws.Digest {
-		*lst = listed{}
+	if digest(list) != upd.Digest {
+		*lst = endpointList{}
 		return false
 	}
-	lst.Digest, lst.List = nws.Digest, list
+	lst.Digest, lst.List = upd.Digest, list
 	return true
 }
 
-// changed gives the list with the changes that news tell.
-func (lst *listed) changed(nws news) []talk.Endpoint {
+// patched returns the list with the changes of an update.
+func (lst *endpointList) patched(upd update) []talk.Endpoint {
 	differs := map[ident.Process]bool{}
-	for _, id := range nws.Gone {
+	for _, id := range upd.Gone {
 		differs[ident.Process(id)] = true
 	}
-	for _, ep := range nws.Endpoints {
+	for _, ep := range upd.Endpoints {
 		differs[ep.ID] = true
 	}
 	list := slices.DeleteFunc(slices.Clone(lst.List), func(ep talk.Endpoint) bool { return differs[ep.ID] })
-	list = append(list, nws.Endpoints...)
+	list = append(list, upd.Endpoints...)
 	slices.SortFunc(list, func(x, y talk.Endpoint) int { return cmp.Compare(x.ID, y.ID) })
 	return list
 }
--- a/internal/state/lists_test.go
+++ b/internal/state/lists_test.go
@@ -18,11 +18,11 @@
 	"amaranthvalve/pkg/plan"
 )
 
-// reader is a control thread whose view has a plan and lists of endpoints.
+// reader returns a control state whose view has a plan and has had these lists of endpoints.
 func reader(lists ...[]talk.Endpoint) *Control {
 	ctl := newEndpts().ctl
 	ctl.docs.plan, ctl.docs.offset = &plan.Plan{}, 7
-	ctl.docs.heardAt = ctl.set.Clock.Now()
+	ctl.docs.lastAnswer = ctl.set.Clock.Now()
 	for _, lst := range lists {
 		ctl.endpts.list, ctl.dirty = lst, true
 		ctl.publish(0)
@@ -30,14 +30,14 @@
 	return ctl
 }
 
-// TestChangesAreTold: lists of endpoints change in drawn ways, and a follower is told
-// of them now and then, at times after more changes than its reader remembers. Each time
-// it has the reader's list; where the reader remembers, it is told the changes alone.
-func TestChangesAreTold(t *testing.T) {
+// Guards against followers whose list of endpoints differs from their reader's. Lists change at
+// random, and a follower asks at random, at times after more changes than the reader keeps; where
+// the reader still has the follower's list, it sends the changes alone.
+func TestFollowerReceivesChanges(t *testing.T) {
 	rapid.Check(t, func(rpd *rapid.T) {
 		gom := gomega.NewWithT(rpd)
 		ctl := reader(nil)
-		var fol listed
+		var fol endpointList
 		ids := rapid.SliceOfNDistinct(rapid.IntRange(0, 40), 0, 20, rapid.ID[int])
 		since := 0
 		for range rapid.IntRange(1, 60).Draw(rpd, "steps") {
@@ -53,10 +53,10 @@
 			}
 			vw := ctl.View()
 			if fol.Digest != vw.digest {
-				var nws news
-				nws.list(vw, fol.Digest)
-				gom.Expect(nws.Changed || fol.Digest == 0 || since >= pastMost).To(gomega.BeTrue())
-				gom.Expect(fol.take(nws)).To(gomega.BeTrue())
+				var upd update
+				upd.fillEndpoints(vw, fol.Digest)
+				gom.Expect(upd.Changed || fol.Digest == 0 || since >= maxPastLists).To(gomega.BeTrue())
+				gom.Expect(fol.apply(upd)).To(gomega.BeTrue())
 				since = 0
 			}
 			gom.Expect(fol.Digest).To(gomega.Equal(vw.digest))
@@ -66,71 +66,70 @@
 	})
 }
 
-// TestOwnNewsKeepNobodyBusy: a follower has heard that an endpoint leaves, and its reader
-// has not. It asks for what differs from what it was told, and the reader holds the
-// question. Asked for what differs from its own list, the reader had news for it each
-// time, some hundred times a second until it heard too.
-func TestOwnNewsKeepNobodyBusy(t *testing.T) {
+// Guards against a busy loop between a follower and a reader that does not know of a leaving
+// endpoint yet. The follower asks by the list last received, so that the reader holds the request;
+// compared with the follower's own list, the reader had an update some hundred times a second.
+func TestUnknownLeavingCausesNoBusyLoop(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	rdr := reader(list("a", "b"))
 	fol := newEndpts()
 	fol.ctl.docs.offset = 7
-	var nws news
-	nws.list(rdr.View(), 0)
-	gom.Expect(fol.ctl.docs.told.take(nws)).To(gomega.BeTrue())
-	fol.take(slices.Clone(fol.ctl.docs.told.List), 0)
-	fol.heardLeaving("a", "it said so", 0)
+	var upd update
+	upd.fillEndpoints(rdr.View(), 0)
+	gom.Expect(fol.ctl.docs.fromReader.apply(upd)).To(gomega.BeTrue())
+	fol.apply(slices.Clone(fol.ctl.docs.fromReader.List), 0)
+	fol.markLeaving("a", "it said so", 0)
 
-	body, err := cbor.Marshal(fol.ctl.docs.wanted())
+	body, err := cbor.Marshal(fol.ctl.docs.updateRequest())
 	gom.Expect(err).NotTo(gomega.HaveOccurred())
 	began := time.Now()
 	ans := rdr.Tell(context.Background(), peer.Message{Body: body})
-	gom.Expect(time.Since(began)).To(gomega.BeNumerically(">=", newsHold))
-	var got news
+	gom.Expect(time.Since(began)).To(gomega.BeNumerically(">=", updateHold))
+	var got update
 	gom.Expect(cbor.Unmarshal(ans.Body, &got)).To(gomega.Succeed())
 	gom.Expect(got.Listed).To(gomega.BeFalse())
 }
 
-// TestOwnReadEndsWhatWasTold: an instance follows, reads the store itself for a while, and
-// follows again. It asks for the whole list: by what it was told before, a reader whose
-// list is the same again would tell it nothing, and it kept its own.
-func TestOwnReadEndsWhatWasTold(t *testing.T) {
+// Guards against a follower that keeps its own list after it has read the store itself. When it
+// follows again it requests the full list: by the digest received earlier, a reader with an
+// unchanged list would send none.
+func TestOwnReadResetsReaderList(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	rdr := reader(list("a", "b"))
 	fol := newEndpts()
-	var nws news
-	nws.list(rdr.View(), 0)
-	gom.Expect(fol.ctl.docs.told.take(nws)).To(gomega.BeTrue())
-	gom.Expect(fol.ctl.docs.wanted().Digest).To(gomega.Equal(rdr.View().digest))
-	fol.read(list("a"), nil, nil, 10*clock.Second)
-	gom.Expect(fol.ctl.docs.wanted().Digest).To(gomega.BeZero())
+	var upd update
+	upd.fillEndpoints(rdr.View(), 0)
+	gom.Expect(fol.ctl.docs.fromReader.apply(upd)).To(gomega.BeTrue())
+	gom.Expect(fol.ctl.docs.updateRequest().Digest).To(gomega.Equal(rdr.View().digest))
+	fol.applyRead(list("a"), nil, nil, 10*clock.Second)
+	gom.Expect(fol.ctl.docs.updateRequest().Digest).To(gomega.BeZero())
 }
 
-// TestChangesOfAnotherList: a follower's question is held at a reader while the follower
-// reads the store itself. The answer tells changes of the list that it had before. Taken
-// for the whole list they left one endpoint of all, and nearly every request was refused
-// for seconds; they are dropped, and the next answer has the whole list.
-func TestChangesOfAnotherList(t *testing.T) {
+// Guards against changes that are applied to another list than they were computed from: a request
+// is held while the follower reads the store itself. Applied, they left one endpoint of all, and
+// nearly every request was refused for seconds; they are dropped, and the next answer has the full
+// list.
+func TestChangesOfAnotherListAreDropped(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	rdr := reader(list("a", "b", "c"))
 	fol := newEndpts()
-	var whole news
-	whole.list(rdr.View(), 0)
-	gom.Expect(fol.ctl.docs.told.take(whole)).To(gomega.BeTrue())
-	asked := fol.ctl.docs.wanted()
+	var whole update
+	whole.fillEndpoints(rdr.View(), 0)
+	gom.Expect(fol.ctl.docs.fromReader.apply(whole)).To(gomega.BeTrue())
+	sent := fol.ctl.docs.updateRequest()
 
 	rdr.endpts.list, rdr.dirty = list("a", "b", "c", "d"), true
 	rdr.publish(0)
-	var change news
-	change.list(rdr.View(), asked.Digest)
+	var change update
+	change.fillEndpoints(rdr.View(), sent.Digest)
 	gom.Expect(change.Changed).To(gomega.BeTrue())
-	fol.read(list("a", "b", "c"), nil, nil, 10*clock.Second)
-	gom.Expect(fol.ctl.docs.told.take(change)).To(gomega.BeFalse())
+	fol.applyRead(list("a", "b", "c"), nil, nil, 10*clock.Second)
+	gom.Expect(fol.ctl.docs.fromReader.apply(change)).To(gomega.BeFalse())
 	gom.Expect(fol.list).To(gomega.HaveLen(3))
 
-	gom.Expect(fol.ctl.docs.wanted().Digest).To(gomega.BeZero())
-	var next news
-	next.list(rdr.View(), 0)
-	gom.Expect(fol.ctl.docs.told.take(next)).To(gomega.BeTrue())
-	gom.Expect(fol.ctl.docs.told.List).To(gomega.HaveLen(4))
+	gom.Expect(fol.ctl.docs.updateRequest().Digest).To(gomega.BeZero())
+	var next update
+	next.fillEndpoints(rdr.View(), 0)
+	gom.Expect(fol.ctl.docs.fromReader.apply(next)).To(gomega.BeTrue())
+	gom.Expect(fol.ctl.docs.fromReader.List).To(gomega.HaveLen(4))
 }
--- a/internal/state/rates.go
+++ b/internal/state/rates.go
@@ -10,50 +10,50 @@
 )
 
 const (
-	// namedMargin is how much later than a rate was named a request must be sent for an answer
-	// without one to lift it: answers overtake one another, and ages are told with some
-	// milliseconds too little.
-	namedMargin = 200 * clock.Milli(1)
-	// rateKept is how long a rate holds of which nobody hears any more, since the endpoint gets
-	// nothing, and renewAfter after how long one that is named on is told again: each time costs
-	// every instance some messages.
-	rateKept   = clock.Hour
-	renewAfter = 10 * clock.Minute
-	// mostRates bounds the rates that are known, some 100 B each.
-	mostRates = 16 << 10
-	// lifted is the value of a rate that is named no more.
-	lifted = ""
+	// rateMargin is how much later than the rate was declared a request must be sent for an answer
+	// without a rate to clear it: answers overtake one another, and reported ages are some
+	// milliseconds too low.
+	rateMargin = 200 * clock.Milli(1)
+	// rateRetention is how long a rate stays in effect that is not renewed because the endpoint
+	// gets no requests. rateRenewal is the interval at which an unchanged rate is spread again:
+	// each time costs every instance some messages.
+	rateRetention = clock.Hour
+	rateRenewal   = 10 * clock.Minute
+	// maxRates bounds the number of known rates, some 100 B each.
+	maxRates = 16 << 10
+	// noRate is the value of a rate that is no longer declared.
+	noRate = ""
 )
 
-// ratesBounds are those of the facts on rates.
-var ratesBounds = rumor.Bounds{Keep: rateKept, Most: mostRates}
+// ratesBounds bounds the facts on rates.
+var ratesBounds = rumor.Bounds{Keep: rateRetention, Most: maxRates}
 
-// rate is what an endpoint takes from all instances together.
+// rate is the number of requests per second that an endpoint accepts from all instances together.
 type rate struct {
 	perSecond float64
-	// told is when it was told last.
-	told clock.Milli
+	// renewedAt is when the rate was last spread.
+	renewedAt clock.Milli
 }
 
-// readRates makes of the facts what traffic goes by.
+// readRates returns the rates that the facts describe.
 func readRates(facts []rumor.Fact, now clock.Milli) map[ident.Process]rate {
 	rates := map[ident.Process]rate{}
 	for _, fct := range facts {
 		if perSecond, err := strconv.ParseFloat(fct.Value, 64); err == nil {
-			rates[ident.Process(fct.Key)] = rate{perSecond: perSecond, told: now - fct.Age}
+			rates[ident.Process(fct.Key)] = rate{perSecond: perSecond, renewedAt: now - fct.Age}
 		}
 	}
 	return rates
 }
 
-// Rate gives how many requests a second an endpoint takes from all instances together; false if
-// it doesn't say.
+// Rate returns how many requests a second an endpoint accepts from all instances together; false if
+// it declares no rate.
 func (vw *View) Rate(id ident.Process) (perSecond float64, ok bool) {
 	rte, ok := vw.rates[id]
 	return rte.perSecond, ok
 }
 
-// Rates gives the rates of all endpoints that name one, by their names.
+// Rates returns the declared rates by endpoint.
 func (vw *View) Rates() map[string]float64 {
 	all := make(map[string]float64, len(vw.rates))
 	for id, rte := range vw.rates {
@@ -62,43 +62,43 @@
 	return all
 }
 
-// Answered is told by traffic what an endpoint's answer said, and when the request was sent.
+// Answered records an endpoint's answer to a request that was sent at the given instant.
 func (ctl *Control) Answered(addr string, rep talk.Reply, sent clock.Milli) {
 	vw := ctl.View()
 	if rep.Misdirected || !rep.HasRate && len(vw.rates) == 0 {
 		return
 	}
-	// The entry of one that has ended stays for some seconds, and another one may have its
+	// The entry of an ended endpoint stays for some seconds, and another endpoint may have its
 	// address by then.
 	for _, ep := range vw.endpoints {
 		if ep.Addr == addr {
-			ctl.named(vw, ep, rep, sent)
+			ctl.recordRate(vw, ep, rep, sent)
 		}
 	}
 }
 
-// named tells all instances that an endpoint names a rate for the first time or another one, or
-// none any more: an answer without one, to a request that was sent after it had been named.
-func (ctl *Control) named(vw *View, ep talk.Endpoint, rep talk.Reply, sent clock.Milli) {
+// recordRate spreads a new or changed rate of an endpoint to all instances, or clears it: by an
+// answer without a rate to a request that was sent after the rate was declared.
+func (ctl *Control) recordRate(vw *View, ep talk.Endpoint, rep talk.Reply, sent clock.Milli) {
 	known, ok := vw.rates[ep.ID]
-	value := lifted
+	value := noRate
 	switch {
 	case rep.HasRate:
 		value = strconv.FormatFloat(rep.Rate, 'f', -1, 64)
-		if ok && known.perSecond == rep.Rate && ctl.set.Clock.Since(known.told) < renewAfter {
+		if ok && known.perSecond == rep.Rate && ctl.set.Clock.Since(known.renewedAt) < rateRenewal {
 			return
 		}
-	case !ok || !rep.Signed || sent <= known.told+namedMargin:
+	case !ok || !rep.Signed || sent <= known.renewedAt+rateMargin:
 		return
 	}
 	ctl.loop.Offer(func(now clock.Milli) {
 		before, at, had := ctl.facts.spread.Get(rumor.NamedRate, string(ep.ID))
-		if had && before == value && now-at < renewAfter || !had && value == lifted {
+		if had && before == value && now-at < rateRenewal || !had && value == noRate {
 			return
 		}
-		ctl.facts.learned([]rumor.Fact{ctl.facts.spread.Renew(rumor.NamedRate, string(ep.ID), value, now)}, now)
+		ctl.facts.addLocal([]rumor.Fact{ctl.facts.spread.Renew(rumor.NamedRate, string(ep.ID), value, now)}, now)
 		if !had || before != value {
-			ctl.set.Log.Info().Str("endpoint", string(ep.ID)).Str("pool", ep.Pool).Str("per_second", value).Str("before", before).Msg("rate of an endpoint")
+			ctl.set.Log.Info().Str("endpoint", string(ep.ID)).Str("pool", ep.Pool).Str("per_second", value).Str("before", before).Msg("declared rate of an endpoint changed")
 		}
 	})
 }
--- a/internal/state/rates_test.go
+++ b/internal/state/rates_test.go
@@ -11,8 +11,8 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// Guards against a rate that is taken for that of an endpoint which had the address before.
-func TestRateOfAnAddressUsedAgain(t *testing.T) {
+// Guards against a rate that is assigned to an endpoint which had the address before.
+func TestRateOfReusedAddress(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	ctl := started(t, talk.Store{Endpoints: func(context.Context) ([]talk.Endpoint, []error, error) {
 		return []talk.Endpoint{{ID: "ended", Addr: "a", Pool: "p"}, {ID: "there", Addr: "a", Pool: "p"}, {ID: "other", Addr: "b", Pool: "p"}}, nil, nil
@@ -27,26 +27,26 @@
 	gom.Expect(ok).To(gomega.BeFalse())
 }
 
-// Guards against a rate that is told to all instances again and again for as long as it is named,
-// and against one that is forgotten meanwhile.
-func TestARateThatIsNamedOnIsToldRarely(t *testing.T) {
+// Guards against a rate that is spread to all instances again and again while it is unchanged, and
+// against one that expires meanwhile.
+func TestUnchangedRateIsRenewedRarely(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	var passed atomic.Int64
 	clk := clock.New(func() clock.Milli { return clock.Clock{}.Now() + clock.Milli(passed.Load()) })
 	ctl := startedAt(t, talk.Store{}, clk)
 	gom.Eventually(func() int { return len(ctl.View().Endpoints()) }, soon).Should(gomega.Equal(1))
-	told, digest := 0, uint64(0)
+	renewals, digest := 0, uint64(0)
 	const span = 2 * clock.Hour
 	for range int(span / clock.Minute) {
 		ctl.Answered("e1", talk.Reply{HasRate: true, Rate: 2}, clk.Now())
 		gom.Expect(ctl.loop.Do(t.Context(), func(clock.Milli) {
 			if now := ctl.facts.spread.Digest(); now != digest {
-				told, digest = told+1, now
+				renewals, digest = renewals+1, now
 			}
 		})).To(gomega.BeTrue())
 		_, ok := ctl.View().Rate("e1")
 		gom.Expect(ok).To(gomega.BeTrue())
 		passed.Add(int64(clock.Minute))
 	}
-	gom.Expect(told).To(gomega.BeNumerically("<=", int(span/(10*clock.Minute))+1))
+	gom.Expect(renewals).To(gomega.BeNumerically("<=", int(span/(10*clock.Minute))+1))
 }
--- a/internal/state/runs.go
+++ b/internal/state/runs.go
@@ -6,28 +6,27 @@
 	"amaranthvalve/pkg/ident"
 )
 
-// runFor is how long the latest run of an endpoint is remembered that is listed no more:
-// a list that another instance read before may arrive as late as a question is held there.
-const runFor = 30 * clock.Second
+// runRetention is how long the latest run of an endpoint that is no longer listed is remembered: a
+// list that another instance read before may arrive as late as a request is held there.
+const runRetention = 30 * clock.Second
 
-// run is the latest run of an endpoint, and when it was listed last.
+// run is the latest run of an endpoint, and when it was last listed.
 type run struct {
-	proc ident.Process
-	seen clock.Milli
+	proc     ident.Process
+	listedAt clock.Milli
 }
 
-// runs has the latest run of each endpoint by its name. The zero value knows none.
+// runs has the latest run of each endpoint by its name. The zero value is empty.
 //
-// A list may be older than what is known already: a reader's list that was on its way, or
-// one from before the store was asked. It may name a run of an endpoint that has ended
-// since. Taken, that would bring back all that was believed of it, and requests would be sent
-// to a process that isn't there and be refused.
+// A list may be older than what is known already: a reader's list in transit, or one from before
+// the store was read. It may name a run of an endpoint that has ended since. If that run came back,
+// all its state would too, and requests would be sent to a process that is gone and be refused.
 type runs struct {
 	byName map[string]run
 }
 
-// latest gives a list without runs that have ended; in their place it has the later run as
-// the list before has it, if it does.
+// latest returns a list without runs that have ended; each is replaced by the later run as found in
+// the list before, if it is there.
 func (rns *runs) latest(list, before []talk.Endpoint, now clock.Milli) []talk.Endpoint {
 	if rns.byName == nil {
 		rns.byName = map[string]run{}
@@ -56,10 +55,10 @@
 
 func (rns *runs) note(list []talk.Endpoint, now clock.Milli) {
 	for _, ep := range list {
-		rns.byName[ep.ID.Name()] = run{proc: ep.ID, seen: now}
+		rns.byName[ep.ID.Name()] = run{proc: ep.ID, listedAt: now}
 	}
 	for name, rn := range rns.byName {
-		if now-rn.seen > runFor {
+		if now-rn.listedAt > runRetention {
 			delete(rns.byName, name)
 		}
 	}
--- a/internal/state/signal.go
+++ b/internal/state/signal.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// signal tells any number of waiters that something has happened for the first time. It is made
-// by [newSignal].
+// signal notifies any number of waiters of the first occurrence of an event. It is made by
+// [newSignal].
 type signal struct {
 	once sync.Once
 	ch   chan struct{}
@@ -15,10 +15,10 @@
 
 func newSignal() *signal { return &signal{ch: make(chan struct{})} }
 
-// give tells it; once is enough.
-func (sig *signal) give() { sig.once.Do(func() { close(sig.ch) }) }
+// fire notifies the waiters; further calls have no effect.
+func (sig *signal) fire() { sig.once.Do(func() { close(sig.ch) }) }
 
-// wait waits for it, for a span at the most.
+// wait waits for the signal, up to a span.
 func (sig *signal) wait(ctx context.Context, span time.Duration) {
 	tmr := time.NewTimer(span)
 	defer tmr.Stop()
--- a/internal/state/source.go
+++ b/internal/state/source.go
@@ -11,39 +11,39 @@
 	"amaranthvalve/pkg/retry"
 )
 
-// A few instances read the store, and tell the others: each read is paid for, and
-// the store bears so many a second from all of them. Who reads follows from the
-// membership alone. An instance whose reader is silent, or has heard nothing from the
-// store, goes to the next reader; when none has news, to the deputies, who read the
-// store themselves then. So while the store is down a dozen instances ask it and not
-// hundreds, and while a part of them is cut off from it the others still hear of a change
-// in time. Those ask readers and deputies in turn meanwhile, and so hear of its return.
+// A few instances read the store and update the others: each read costs money, and the store
+// sustains a bounded number a second from all of them. The readers follow from the membership
+// alone. An instance whose reader is unresponsive, or has no recent answer from the store, goes to
+// the next reader; when none is up to date, to the deputies, which then read the store themselves.
+// So while the store is down a dozen instances call it and not hundreds, and while some instances
+// are cut off from it the others still receive changes in time. Those that find no source ask
+// readers and deputies in turn meanwhile, and so learn when the store is back.
 
 const (
-	// readersLeast instances read the store, and one more for each readersPer:
-	// two so that one may die, and so many that a reader answers some tens.
-	readersLeast = 2
-	readersPer   = 96
-	// deputiesEach is how many deputies there are for each reader. If a third of the
-	// instances is cut off from the store, all readers of a small system and its
-	// deputies are with a chance of one in five hundred.
-	deputiesEach = 2
-	// rareEach times the number of instances is how long an instance waits before it
-	// reads the store for itself when no reader or deputy has news: all of them
-	// together ask it some twenty times a second then.
-	rareEach = 25 * clock.Milli(1)
-	// unansweredMost is how many readers or deputies in a row may give no answer before
-	// the store is asked. They may all have lost power; then waiting for each of them
-	// takes longer than a view lasts.
-	unansweredMost = 2
-	// othersWait bounds the wait for the first look at who else there is: whoever doesn't
-	// know the others reads the store for itself.
-	othersWait = 300 * time.Millisecond
-	// readersName is what readers and deputies are ranked by.
-	readersName = "readers of the store"
+	// minReaders instances read the store, and one more for each instancesPerReader: two so that
+	// one may fail, and enough that a reader answers some tens of followers.
+	minReaders         = 2
+	instancesPerReader = 96
+	// deputiesPerReader is the number of deputies for each reader. If a third of the instances is
+	// cut off from the store, all readers and deputies of a small system are with a probability of
+	// 1 in 500.
+	deputiesPerReader = 2
+	// rareReadPerInstance times the number of instances is how long an instance waits before it
+	// reads the store itself when no reader or deputy is up to date: all of them together then call
+	// it some twenty times a second.
+	rareReadPerInstance = 25 * clock.Milli(1)
+	// maxUnanswered is how many readers or deputies in a row may fail to answer before the store is
+	// read directly. They may all have lost power, and trying each of them takes longer than a view
+	// stays valid.
+	maxUnanswered = 2
+	// membersWait bounds the wait for the first lookup of instances: an instance that does not know
+	// the others reads the store itself.
+	membersWait = 300 * time.Millisecond
+	// readersRankKey is the key by which readers and deputies are ranked.
+	readersRankKey = "readers of the store"
 )
 
-// source is where an instance has its news from.
+// source is where an instance gets its updates from.
 type source int
 
 const (
@@ -51,27 +51,27 @@
 	fromStore source = iota
 	// fromOther: it follows a reader or a deputy.
 	fromOther
-	// fromStoreRarely: nobody has news, and it is none of those who look for them.
+	// fromStoreRarely: no source is up to date, and it is neither a reader nor a deputy.
 	fromStoreRarely
 )
 
-// sources are the instances that look for news in the store.
+// sources are the instances that read the store for the others.
 type sources struct {
 	readers  []ident.Incarnation
 	deputies []ident.Incarnation
 }
 
-// sourcesOf takes readers and deputies from all instances in their order.
+// sourcesOf returns the readers and deputies among all instances, given in their rank order.
 func sourcesOf(ranked []ident.Incarnation) sources {
-	reads := min(len(ranked), readersLeast+len(ranked)/readersPer)
-	looks := min(len(ranked), reads*(1+deputiesEach))
-	return sources{readers: ranked[:reads], deputies: ranked[reads:looks]}
+	reads := min(len(ranked), minReaders+len(ranked)/instancesPerReader)
+	all := min(len(ranked), reads*(1+deputiesPerReader))
+	return sources{readers: ranked[:reads], deputies: ranked[reads:all]}
 }
 
-// choose tells where an instance has its news from, and from whom; silent tells of
-// whom nothing is expected now.
+// choose returns where an instance gets its updates from, and the instance to follow; silent
+// reports whether an instance is not to be asked now.
 func (src sources) choose(self ident.Incarnation, silent func(who ident.Incarnation) bool) (ident.Incarnation, source) {
-	if len(src.readers) < readersLeast || slices.Contains(src.readers, self) {
+	if len(src.readers) < minReaders || slices.Contains(src.readers, self) {
 		return "", fromStore
 	}
 	if who, ok := pickSource(src.readers, self, silent); ok {
@@ -86,8 +86,8 @@
 	return "", fromStoreRarely
 }
 
-// pickSource gives the first of a list that isn't silent. Each instance begins elsewhere
-// in it.
+// pickSource returns the first instance of a list that is not silent. Each instance starts at
+// another position.
 func pickSource(list []ident.Incarnation, self ident.Incarnation, silent func(who ident.Incarnation) bool) (ident.Incarnation, bool) {
 	if len(list) == 0 {
 		return "", false
@@ -101,23 +101,24 @@
 	return "", false
 }
 
-// source tells where this instance has its news from now.
+// source returns where this instance gets its updates from now.
 func (ctl *Control) source(now clock.Milli) (ident.Incarnation, source) {
 	vw := ctl.View()
-	if ctl.set.Link == nil || vw.plan == nil && vw.heard == 0 {
-		// The first documents come from the store: when all start at once nobody has any.
+	if ctl.set.Link == nil || vw.plan == nil && vw.answeredAt == 0 {
+		// The first documents come from the store: when all instances start at once none has any.
 		return "", fromStore
 	}
-	return vw.sources.choose(ctl.set.Self, func(who ident.Incarnation) bool { return now < ctl.docs.silent.until(who) })
+	return vw.sources.choose(ctl.set.Self, func(who ident.Incarnation) bool { return now < ctl.docs.backoff.until(who) })
 }
 
-// Follows tells whether this instance is told by others what stands in the store.
+// Follows reports whether this instance gets the contents of the store through others.
 func (ctl *Control) Follows() bool {
 	_, src := ctl.source(ctl.set.Clock.Now())
 	return src == fromOther
 }
 
-// rareSpan is how long one of so many instances waits before it reads the store rarely.
-func rareSpan(instances int) clock.Milli {
-	return retry.Spread(rareEach * clock.Milli(max(instances, 1)))
+// rareReadWait returns how long an instance waits before it reads the store rarely, by the number
+// of instances.
+func rareReadWait(instances int) clock.Milli {
+	return retry.Spread(rareReadPerInstance * clock.Milli(max(instances, 1)))
 }
--- a/internal/state/source_test.go
+++ b/internal/state/source_test.go
@@ -11,7 +11,7 @@
 	"amaranthvalve/pkg/ident"
 )
 
-// ranked gives so many instances in their order.
+// ranked returns instances in rank order.
 func ranked(count int) []ident.Incarnation {
 	var all []ident.Incarnation
 	for i := range count {
@@ -20,8 +20,8 @@
 	return all
 }
 
-// asking counts where all instances have their news from, if some are silent.
-func asking(all []ident.Incarnation, silent func(who ident.Incarnation) bool) map[source]int {
+// countSources counts the sources of all instances if some are silent.
+func countSources(all []ident.Incarnation, silent func(who ident.Incarnation) bool) map[source]int {
 	src := sourcesOf(all)
 	count := map[source]int{}
 	for _, self := range all {
@@ -31,22 +31,20 @@
 	return count
 }
 
-// TestFewAskAStoreThatIsDown: the store is down, and whoever asks it has no news. Of two
-// hundred instances a dozen go on asking it; the others would each pay for a call a second
-// that tells nothing. In the calm only the readers ask.
-func TestFewAskAStoreThatIsDown(t *testing.T) {
+// Guards against calls to a store that is down from all instances, each of which costs money and
+// returns nothing. Of two hundred instances a dozen go on calling; normally only the readers do.
+func TestFewInstancesCallStoreThatIsDown(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	all := ranked(195)
-	calm := asking(all, func(ident.Incarnation) bool { return false })
+	calm := countSources(all, func(ident.Incarnation) bool { return false })
 	gom.Expect(calm).To(gomega.Equal(map[source]int{fromStore: 4, fromOther: 191}))
-	down := asking(all, func(ident.Incarnation) bool { return true })
+	down := countSources(all, func(ident.Incarnation) bool { return true })
 	gom.Expect(down).To(gomega.Equal(map[source]int{fromStore: 12, fromStoreRarely: 183}))
 }
 
-// TestDeputiesSpeakForReaders: all readers are cut off from the store, and nobody else is. The
-// others hear from the deputies, who read the store meanwhile; nobody reads it rarely, and so
-// a change is heard of by all in time.
-func TestDeputiesSpeakForReaders(t *testing.T) {
+// Guards against followers without a source when all readers are cut off from the store: they
+// follow the deputies, and none reads the store rarely, so that all receive a change in time.
+func TestDeputiesReplaceReaders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		gom := gomega.NewWithT(t)
 		all := ranked(rapid.IntRange(2, 390).Draw(t, "instances"))
@@ -68,32 +66,31 @@
 				gom.Expect(src.deputies).To(gomega.ContainElement(who))
 				gom.Expect(cut[who]).To(gomega.BeFalse())
 			}
-			gom.Expect(from == fromStoreRarely && !allCut).To(gomega.BeFalse(), "somebody has news")
+			gom.Expect(from == fromStoreRarely && !allCut).To(gomega.BeFalse(), "a deputy is up to date")
 		}
 	})
 }
 
-// TestFewReadersEach: however many instances there are, a reader answers some fifty of them
-// at the most, and two read the store at the least.
+// Guards against readers with too many followers, and against fewer than two readers.
 func TestFewReadersEach(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	for _, count := range []int{1, 2, 7, 66, 195, 390, 1000} {
 		src := sourcesOf(ranked(count))
-		gom.Expect(len(src.readers)).To(gomega.BeNumerically(">=", min(count, readersLeast)))
-		gom.Expect(count / len(src.readers)).To(gomega.BeNumerically("<=", readersPer))
+		gom.Expect(len(src.readers)).To(gomega.BeNumerically(">=", min(count, minReaders)))
+		gom.Expect(count / len(src.readers)).To(gomega.BeNumerically("<=", instancesPerReader))
 	}
 }
 
-// Guards against views of followers that are older than tokens may be honoured for: a reader
-// knows the store twice the time ago that its read is held, a follower as much later as its
-// reader waits. A fifth of the time is left for the ways, a tenth for the request's.
+// Guards against views of followers that are older than tokens may be accepted for: a reader's view
+// is at most twice the hold of its read old, a follower's older by the hold of its request at the
+// reader. A fifth of the time is left for the network, a tenth for the request.
 func TestViewsAreYoungerThanTokens(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	for tokens := clock.Second; tokens <= clock.Minute; tokens += 100 {
 		ctl := &Control{set: Setup{TokensFor: tokens}}
-		age := 2*ctl.capped(holdFor, holdShare) + ctl.capped(clock.FromDuration(newsHold), newsShare)
+		age := 2*ctl.capped(watchHold, watchHoldShare) + ctl.capped(clock.FromDuration(updateHold), updateHoldShare)
 		gom.Expect(age).To(gomega.BeNumerically("<=", tokens*7/10))
 	}
 	ctl := &Control{}
-	gom.Expect(ctl.capped(holdFor, holdShare)).To(gomega.Equal(holdFor))
+	gom.Expect(ctl.capped(watchHold, watchHoldShare)).To(gomega.Equal(watchHold))
 }
--- a/internal/state/start_test.go
+++ b/internal/state/start_test.go
@@ -21,10 +21,10 @@
 	"amaranthvalve/pkg/plan"
 )
 
-// soon is well beyond what an instance may take here.
+// soon is well beyond the time that an instance may take here.
 const soon = 5 * time.Second
 
-// storeOf is a store that has one document, and answers the rest as its fields say.
+// storeOf returns a store with one document that answers all other calls by the given functions.
 func storeOf(sto talk.Store) talk.Store {
 	if sto.Newest == nil {
 		sto.Newest = func(context.Context) (talk.Document, error) { return talk.Document{Offset: 1, End: 2}, nil }
@@ -47,10 +47,10 @@
 	return sto
 }
 
-// started starts a control thread for a test.
+// started runs a control state for a test.
 func started(t *testing.T, sto talk.Store) *Control { return startedAt(t, sto, clock.Clock{}) }
 
-// startedAt is started with another clock.
+// startedAt is like started, with another clock.
 func startedAt(t *testing.T, sto talk.Store, clk clock.Clock) *Control {
 	pln, _ := plan.Compile(plan.Draft{})
 	dia := &talk.Dialect{Compile: func([]byte) (*plan.Plan, []error) { return pln, nil }}
@@ -70,8 +70,8 @@
 	return ctl
 }
 
-// lines gives the lines of so many instances of one start.
-func lines(boot string, count int) []talk.Instance {
+// entries returns the entries of a number of instances with one boot name.
+func entries(boot string, count int) []talk.Instance {
 	var all []talk.Instance
 	for i := range count {
 		addr := fmt.Sprintf("10.0.1.%d:1", i)
@@ -80,38 +80,36 @@
 	return all
 }
 
-// TestOthersAreKnownBeforeOurLineIsWritten: hundreds of instances start at once, and the store
-// writes their lines one after another, ours last. The others' lines from before are read
-// meanwhile, so that this instance knows who gathers pieces when the first request comes. It
-// waited for its own line first, half a second at two hundred, and gathered alone.
-func TestOthersAreKnownBeforeOurLineIsWritten(t *testing.T) {
+// Guards against an instance that knows no other while its own entry is being written. When
+// hundreds start at once the store writes their entries one after another; an instance that waited
+// for its own first, half a second at two hundred, coordinated pools alone.
+func TestOthersAreKnownBeforeOwnEntryIsWritten(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	ctl := started(t, talk.Store{
 		Announce: func(ctx context.Context, _ talk.Instance) error {
 			<-ctx.Done()
 			return ctx.Err()
 		},
-		Instances: func(context.Context) ([]talk.Instance, []byte, error) { return lines("before", 30), nil, nil },
+		Instances: func(context.Context) ([]talk.Instance, []byte, error) { return entries("before", 30), nil, nil },
 	})
 	gom.Eventually(ctl.Met(), soon).Should(gomega.BeClosed())
 	gom.Eventually(func() int { return len(ctl.View().Members()) }, soon).Should(gomega.Equal(31))
 }
 
-// TestOurLineIsWrittenAgain: our line was written and is gone from the store, taken out by an
-// instance that took this one for dead. It is written again after the next look.
-func TestOurLineIsWrittenAgain(t *testing.T) {
+// Guards against an instance that stays missing from the store after its entry was withdrawn by
+// another one that took it for dead.
+func TestOwnEntryIsWrittenAgain(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	var said atomic.Int64
+	var writes atomic.Int64
 	started(t, talk.Store{Announce: func(context.Context, talk.Instance) error {
-		said.Add(1)
+		writes.Add(1)
 		return nil
 	}})
-	gom.Eventually(said.Load, soon).Should(gomega.BeNumerically(">=", 2))
+	gom.Eventually(writes.Load, soon).Should(gomega.BeNumerically(">=", 2))
 }
 
-// TestFirstRequestsWait: a request comes while an instance that has just started knows the
-// documents and not yet the endpoints. It waits for them, instead of being refused as if there
-// were none. An instance whose store is down refuses at once after a moment.
+// Guards against requests that are refused right after the start because the endpoints are not read
+// yet. They wait for them; if the store is down, later ones are refused at once.
 func TestFirstRequestsWait(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	ctl := started(t, talk.Store{Endpoints: func(context.Context) ([]talk.Endpoint, []error, error) {
@@ -123,13 +121,12 @@
 	gom.Expect(down.Whole(context.Background()).Plan()).To(gomega.BeNil())
 	began := time.Now()
 	gom.Expect(down.Whole(context.Background()).Plan()).To(gomega.BeNil())
-	gom.Expect(time.Since(began)).To(gomega.BeNumerically("<", startWait.Duration()/2), "nothing waits later")
+	gom.Expect(time.Since(began)).To(gomega.BeNumerically("<", startupWait.Duration()/2), "later requests do not wait")
 }
 
-// TestOneWriteTakesOutAllEnded: all instances were killed and have started again. Their lines from
-// before are taken out of the store by the first of the readers, in one write: written by each
-// for itself, they delay the lines of the living.
-func TestOneWriteTakesOutAllEnded(t *testing.T) {
+// Guards against a separate write for each entry of an ended instance after all were killed and
+// restarted, which would delay the entries of live instances. The first reader removes them in one.
+func TestEndedEntriesAreRemovedInOneWrite(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	var writes atomic.Int64
 	taken := make(chan []string, 9)
@@ -139,40 +136,39 @@
 		return nil
 	}}
 	ctl := started(t, sto)
-	before, now := lines("before", 20), lines("now", 20)
-	tidy := func() {
+	before, now := entries("before", 20), entries("now", 20)
+	withdraw := func() {
 		ctl.loop.Do(context.Background(), func(at clock.Milli) {
 			for _, inst := range before {
 				ctl.list.End(ident.Incarnation(inst.Name), at)
 			}
-			ctl.tidy(append(before, now...))
+			ctl.withdrawEnded(append(before, now...))
 		})
 	}
-	tidy()
+	withdraw()
 	gom.Eventually(taken, soon).Should(gomega.Receive(gomega.HaveLen(20)))
 	ctl.loop.Do(context.Background(), func(at clock.Milli) {
 		for i, inst := range now {
 			ctl.list.Learn([]member.News{{Who: ident.Incarnation(inst.Name), Seq: 1, Capacity: float64(10 + i)}}, at)
 		}
 	})
-	tidy()
+	withdraw()
 	gom.Consistently(writes.Load, 100*time.Millisecond).Should(gomega.Equal(int64(1)), "another instance is the first reader")
 }
 
-// TestSlowStoreIsNotSilent: the store answers a read that it holds for 0.7 s half a second late,
-// again and again. Its reader is still of use to those that follow it: they would hear no
-// sooner from the store, and hundreds of them would make it slower.
+// Guards against followers that leave a reader because the store is slow: it answers a read held
+// for 0.7 s half a second late. They would get no answer sooner from the store, and would slow it
+// further.
 func TestSlowStoreIsNotSilent(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	between := holdFor + slowMost
-	gom.Expect((&View{heard: 1000, slow: slowMost}).silence(1000 + between)).To(gomega.BeNumerically("<", newsOld))
-	gom.Expect((&View{heard: 1000}).silence(1000 + between)).To(gomega.BeNumerically(">", newsOld))
+	between := watchHold + maxStoreDelay
+	gom.Expect((&View{answeredAt: 1000, storeDelay: maxStoreDelay}).storeSilence(1000 + between)).To(gomega.BeNumerically("<", maxStoreSilence))
+	gom.Expect((&View{answeredAt: 1000}).storeSilence(1000 + between)).To(gomega.BeNumerically(">", maxStoreSilence))
 }
 
-// TestNewReaderTellsNoEmptyList: a reader has just started and knows the documents and not yet the
-// endpoints. A follower that has read the endpoints itself asks it, and is told of no list. Taken for
-// the list of endpoints, an empty one left the follower with none for half a second.
-func TestNewReaderTellsNoEmptyList(t *testing.T) {
+// Guards against a reader that has documents but not yet endpoints and sends an empty list: a
+// follower that had read the endpoints itself was left with none for half a second.
+func TestNewReaderSendsNoEmptyList(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	held := make(chan struct{})
 	ctl := started(t, talk.Store{Endpoints: func(ctx context.Context) ([]talk.Endpoint, []error, error) {
@@ -183,23 +179,22 @@
 		return list("e1"), nil, nil
 	}})
 	gom.Eventually(func() *plan.Plan { return ctl.View().Plan() }, soon).ShouldNot(gomega.BeNil())
-	ask := func() news {
-		body, err := cbor.Marshal(wanted{Offset: ctl.View().Offset()})
+	ask := func() update {
+		body, err := cbor.Marshal(updateRequest{Offset: ctl.View().Offset()})
 		gom.Expect(err).NotTo(gomega.HaveOccurred())
-		var nws news
-		gom.Expect(cbor.Unmarshal(ctl.Tell(context.Background(), peer.Message{Body: body}).Body, &nws)).To(gomega.Succeed())
-		return nws
+		var upd update
+		gom.Expect(cbor.Unmarshal(ctl.Tell(context.Background(), peer.Message{Body: body}).Body, &upd)).To(gomega.Succeed())
+		return upd
 	}
 	gom.Expect(ask().Listed).To(gomega.BeFalse())
 	close(held)
 	gom.Eventually(func() bool { return ask().Listed }, soon).Should(gomega.BeTrue())
 }
 
-// TestPatientAskerHearsOfTheReturn: the store is down, and an instance whose readers and deputies all
-// have no news asks one of them patiently. It isn't sent away, but answered when the store is
-// back, within the time that a question is held. Sent away at once by each of them it left them
-// alone for three seconds, and went by old documents for as long after the store's return.
-func TestPatientAskerHearsOfTheReturn(t *testing.T) {
+// Guards against patient followers that are refused at once while the store is down. Each refusal
+// kept them from asking that reader again for three seconds, and so they kept outdated documents
+// that long after the store was back. Their requests are held instead.
+func TestPatientFollowerLearnsOfStoreReturn(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	var down atomic.Bool
 	ctl := started(t, talk.Store{Watch: func(context.Context, int64, clock.Milli) (bool, error) {
@@ -214,41 +209,40 @@
 		}
 		return talk.Document{Offset: 1, End: 2}, nil
 	}})
-	ask := func(patient bool) (news, time.Duration) {
+	ask := func(patient bool) (update, time.Duration) {
 		vw := ctl.View()
-		body, _ := cbor.Marshal(wanted{Offset: vw.Offset(), Digest: vw.digest, Patient: patient})
+		body, _ := cbor.Marshal(updateRequest{Offset: vw.Offset(), Digest: vw.digest, Patient: patient})
 		began := time.Now()
-		var nws news
-		gom.Expect(cbor.Unmarshal(ctl.Tell(context.Background(), peer.Message{Body: body}).Body, &nws)).To(gomega.Succeed())
-		return nws, time.Since(began)
+		var upd update
+		gom.Expect(cbor.Unmarshal(ctl.Tell(context.Background(), peer.Message{Body: body}).Body, &upd)).To(gomega.Succeed())
+		return upd, time.Since(began)
 	}
-	gom.Eventually(func() bool { return ctl.View().whole() }, soon).Should(gomega.BeTrue())
+	gom.Eventually(func() bool { return ctl.View().servable() }, soon).Should(gomega.BeTrue())
 	down.Store(true)
-	time.Sleep(newsOld.Duration() + 200*time.Millisecond)
-	nws, took := ask(false)
-	gom.Expect(nws.Silent).To(gomega.BeNumerically(">", newsOld))
-	gom.Expect(took).To(gomega.BeNumerically("<", newsHold/2))
-	nws, took = ask(true)
-	gom.Expect(nws.Silent).To(gomega.BeNumerically(">", newsOld))
-	gom.Expect(took).To(gomega.BeNumerically(">=", newsHold))
+	time.Sleep(maxStoreSilence.Duration() + 200*time.Millisecond)
+	upd, took := ask(false)
+	gom.Expect(upd.StoreSilence).To(gomega.BeNumerically(">", maxStoreSilence))
+	gom.Expect(took).To(gomega.BeNumerically("<", updateHold/2))
+	upd, took = ask(true)
+	gom.Expect(upd.StoreSilence).To(gomega.BeNumerically(">", maxStoreSilence))
+	gom.Expect(took).To(gomega.BeNumerically(">=", updateHold))
 	down.Store(false)
 	back := time.Now()
 	gom.Eventually(func() clock.Milli {
-		nws, _ := ask(true)
-		return nws.Silent
-	}, soon).Should(gomega.BeNumerically("<", newsOld))
-	gom.Expect(time.Since(back)).To(gomega.BeNumerically("<", againMost.Duration()+2*newsHold))
+		upd, _ := ask(true)
+		return upd.StoreSilence
+	}, soon).Should(gomega.BeNumerically("<", maxStoreSilence))
+	gom.Expect(time.Since(back)).To(gomega.BeNumerically("<", maxRetryPause.Duration()+2*updateHold))
 }
 
-// TestLastOneStopsWhileItLooks: the only instance that is left is stopping when it reads the lines of
-// others, which have ended. It ranks nobody, itself included, and takes out no lines. It ended there
-// by itself, with requests under way.
-func TestLastOneStopsWhileItLooks(t *testing.T) {
+// Guards against a crash of the last instance: while stopping it reads the entries of others, which
+// have ended, and ranks no instance, itself included. It ended there with requests in flight.
+func TestLastInstanceStopsDuringLookup(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	ctl := started(t, talk.Store{})
 	ctl.Leave(context.Background())
 	gom.Expect(ctl.loop.Do(context.Background(), func(now clock.Milli) {
-		before := lines("before", 3)
+		before := entries("before", 3)
 		for _, inst := range before {
 			ctl.list.End(ident.Incarnation(inst.Name), now)
 		}
@@ -256,13 +250,12 @@
 			ctl.list.Tick(now)
 			now += clock.Second
 		}
-		gom.Expect(ctl.list.Homes(readersName)).To(gomega.BeEmpty())
-		ctl.tidy(before)
+		gom.Expect(ctl.list.Homes(readersRankKey)).To(gomega.BeEmpty())
+		ctl.withdrawEnded(before)
 	})).To(gomega.BeTrue())
 }
 
-// Guards against an answer that is written while its asker, whose time is up, reads it; the race
-// detector tells.
+// Guards against a data race: an answer written while the caller, whose time is up, reads it.
 func TestLateAnswerIsNotRead(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	ctl := started(t, talk.Store{})
