--- a/internal/pools/pools.go
+++ b/internal/pools/pools.go
@@ -1,9 +1,9 @@
-// Package pools holds what an instance knows of the pools that final calls go to, and
-// chooses the endpoint of each call: model engines by their prompts (package place),
-// plain endpoints by two choices (package route). It keeps the pools' retry budgets.
+// Package pools holds the state that an instance has of the pools for final calls, and chooses the
+// endpoint of each call: model engines by prompt placement (package place), plain endpoints by the
+// power of two choices (package route). It also keeps the retry budgets of the pools.
 //
-// What it knows of model engines is of use twice: while this instance places a pool's prompts
-// for all, and when the one that does so doesn't answer.
+// The state of model engines serves two purposes: placing the prompts of a pool for all instances
+// while this one is its coordinator, and placing our own while the coordinator does not answer.
 package pools
 
 import (
@@ -24,67 +24,68 @@
 )
 
 const (
-	// firstShare is the weight of a new time in the mean time to a first byte.
-	firstShare = 0.2
-	// firstGuess is that time before one was measured.
-	firstGuess = 200.0
-	// keptReserve is the part of the repeats of all instances that is divided
-	// among them; what is left covers those that come and go meanwhile.
-	keptReserve = 0.8
+	// firstByteWeight is the weight of a new sample in the moving average of the time to first
+	// byte.
+	firstByteWeight = 0.2
+	// firstByteDefault is that time in milliseconds before the first sample.
+	firstByteDefault = 200.0
+	// reserveShare is the part of the retry reserve of all instances that is divided among them;
+	// the rest covers instances that join and leave meanwhile.
+	reserveShare = 0.8
 )
 
-// Setup is what pools are made of.
+// Setup configures [Pools].
 type Setup struct {
 	Clock clock.Clock
 	Zone  string
-	// Repeats is how many requests a pool may get again in a while, from all
-	// instances, beyond the share of RepeatShare of its first ones.
+	// Repeats is the number of retries that a pool may get within the budget's window from all
+	// instances, in addition to the share RepeatShare of its first attempts.
 	Repeats     float64
 	RepeatShare float64
 }
 
-// Target is an endpoint picked for a final call.
+// Target is an endpoint chosen for a final call.
 type Target struct {
 	ID   ident.Process
 	Addr string
-	// Ticket names the call at a model engine; empty for plain endpoints.
+	// Ticket identifies the call at a model engine; empty for plain endpoints.
 	Ticket string
-	// From is the address of an engine from which this one can fetch parts of the prompt.
+	// From is the address of an engine from which this one can fetch cached parts of the prompt.
 	From string
-	// Full tells that all places of a model engine are taken, as far as is known.
+	// Full is set if all slots of a model engine are taken, as far as is known.
 	Full bool
-	// Why is what a model engine was chosen by; empty if another instance chose it.
+	// Why is the placement by which a model engine was chosen; empty if another instance chose it.
 	Why place.Seat
 }
 
 // Pools is safe for concurrent use. It is made by [New].
 type Pools struct {
-	set  Setup
-	mtx  sync.Mutex
-	byID map[string]*finals
-	// rates spaces requests to endpoints that name one, as far as this instance keeps them.
+	set    Setup
+	mtx    sync.Mutex
+	byName map[string]*poolState
+	// rates limits requests to endpoints that declare a rate, for the part that this instance owns.
 	rates limit.Rates
-	// firsts is the mean time from a final call to its first byte, by route.
-	firsts map[string]float64
+	// firstBytes is the moving average of the time from a final call to its first byte, by route.
+	firstBytes map[string]float64
 }
 
-// finals is one pool that final calls go to: model engines or plain endpoints.
-type finals struct {
+// poolState is the state of one pool for final calls: model engines or plain endpoints.
+type poolState struct {
 	engines *place.Book
 	plain   *route.Pool
 	budget  retry.Budget
 	// ids are the names of all endpoints.
 	ids []string
-	// under are the calls under way.
-	under ident.Watch
+	// calls are the calls in flight.
+	calls ident.Watch
 }
 
-// New returns no pools.
+// New returns an empty set of pools.
 func New(set Setup) *Pools {
-	return &Pools{set: set, byID: map[string]*finals{}, firsts: map[string]float64{}}
+	return &Pools{set: set, byName: map[string]*poolState{}, firstBytes: map[string]float64{}}
 }
 
-// Sync takes a view's endpoints.
+// Sync updates the pools from a view's plan and endpoints.
 func (pls *Pools) Sync(vw *state.View) {
 	pln := vw.Plan()
 	if pln == nil {
@@ -98,217 +99,217 @@
 	defer pls.mtx.Unlock()
 	pls.rates.Sync(vw.Rates())
 	for name, pol := range pln.Pools() {
-		pls.pool(name, pol).sync(byPool[name], pol.Engine())
+		pls.ensure(name, pol).sync(byPool[name], pol.Engine())
 	}
 }
 
-// pool finds a pool, or makes it of its kind.
-func (pls *Pools) pool(name string, pol *plan.Pool) *finals {
-	fnl, ok := pls.byID[name]
-	if ok && (fnl.engines != nil) == (pol.Engine() != nil) {
-		return fnl
+// ensure returns the state of a pool, and creates it if it is missing or of another kind.
+func (pls *Pools) ensure(name string, pol *plan.Pool) *poolState {
+	pst, ok := pls.byName[name]
+	if ok && (pst.engines != nil) == (pol.Engine() != nil) {
+		return pst
 	}
-	fnl = &finals{budget: retry.NewBudget(pls.set.RepeatShare, pls.set.Repeats)}
+	pst = &poolState{budget: retry.NewBudget(pls.set.RepeatShare, pls.set.Repeats)}
 	if pol.Engine() != nil {
-		fnl.engines = &place.Book{}
+		pst.engines = &place.Book{}
 	} else {
-		fnl.plain = route.New(pls.set.Zone, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+		pst.plain = route.New(pls.set.Zone, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	}
-	pls.byID[name] = fnl
-	return fnl
+	pls.byName[name] = pst
+	return pst
 }
 
-func (fnl *finals) sync(list []talk.Endpoint, spc *plan.DraftEngine) {
-	fnl.ids = fnl.ids[:0]
+func (pst *poolState) sync(list []talk.Endpoint, spc *plan.DraftEngine) {
+	pst.ids = pst.ids[:0]
 	for _, ep := range list {
-		fnl.under.Listed(ep.ID)
-		fnl.ids = append(fnl.ids, string(ep.ID))
+		pst.calls.Listed(ep.ID)
+		pst.ids = append(pst.ids, string(ep.ID))
 	}
-	if fnl.engines != nil {
+	if pst.engines != nil {
 		engines := make([]place.Engine, len(list))
 		for i, ep := range list {
 			engines[i] = place.Engine{
 				ID: string(ep.ID), Addr: ep.Addr, Zone: ep.Zone, Leaving: ep.Leaving, Places: ep.Places, Memory: spc.Memory, Fetches: spc.Fetches,
 			}
 		}
-		fnl.engines.Sync(engines)
+		pst.engines.Sync(engines)
 		return
 	}
 	plain := make([]route.Endpoint, len(list))
 	for i, ep := range list {
 		plain[i] = route.Endpoint{ID: string(ep.ID), Addr: ep.Addr, Zone: ep.Zone, Leaving: ep.Leaving}
 	}
-	fnl.plain.Sync(plain)
+	pst.plain.Sync(plain)
 }
 
-// Pick chooses the endpoint of a final call at the moment of sending, by what this instance
-// knows, and counts the request there under its ticket. share is the part of the endpoints'
-// rates that this instance may send; with none, endpoints that name one are left out.
+// Pick chooses the endpoint of a final call at the moment of sending, by the state of this
+// instance, and counts the request there under its ticket. share is the part of the endpoints'
+// declared rates that this instance may use; with share 0, endpoints that declare a rate are left
+// out.
 func (pls *Pools) Pick(pool, ticket string, ask place.Ask, share float64) (Target, bool) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
 	now := pls.set.Clock.Now()
-	fnl := pls.byID[pool]
-	if fnl == nil {
+	pst := pls.byName[pool]
+	if pst == nil {
 		return Target{}, false
 	}
-	ask.Avoid = slices.Concat(ask.Avoid, pls.closed(fnl, share, now))
-	if fnl.plain != nil {
-		ep, ok := fnl.plain.Pick(route.Ask{Avoid: ask.Avoid}, now)
+	ask.Avoid = slices.Concat(ask.Avoid, pls.rateLimited(pst, share, now))
+	if pst.plain != nil {
+		ep, ok := pst.plain.Pick(route.Ask{Avoid: ask.Avoid}, now)
 		return Target{ID: ident.Process(ep.ID), Addr: ep.Addr}, ok
 	}
-	seat, ok := fnl.engines.Pick(ask, now)
+	seat, ok := pst.engines.Pick(ask, now)
 	if !ok {
 		return Target{}, false
 	}
 	pls.rates.Take(seat.Engine.ID, share, now)
-	tgt := fnl.take(seat.Engine, seat.From, ticket, ask, now)
+	tgt := pst.begin(seat.Engine, seat.From, ticket, ask, now)
 	tgt.Why = seat
 	return tgt, true
 }
 
-// Aim chooses the model engine that a request will probably go to, so that its results
-// can be made near it; false if the pool has no engines. share is as for Pick.
+// Aim predicts the model engine that a request will go to, so that its results can be produced near
+// it; false if the pool has no engines. share is as for Pick.
 func (pls *Pools) Aim(pool string, ask place.Ask, share float64) (place.Seat, bool) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
-	fnl := pls.byID[pool]
-	if fnl == nil || fnl.engines == nil {
+	pst := pls.byName[pool]
+	if pst == nil || pst.engines == nil {
 		return place.Seat{}, false
 	}
 	now := pls.set.Clock.Now()
-	ask.Avoid = slices.Concat(ask.Avoid, pls.closed(fnl, share, now))
-	return fnl.engines.Pick(ask, now)
+	ask.Avoid = slices.Concat(ask.Avoid, pls.rateLimited(pst, share, now))
+	return pst.engines.Pick(ask, now)
 }
 
-// Take counts a request at an engine that another instance chose for it; false if that
-// engine isn't known here, or shouldn't be sent anything.
+// Take counts a request at an engine that another instance chose for it; false if that engine is
+// unknown here, or is leaving.
 func (pls *Pools) Take(pool, id, from, ticket string, ask place.Ask) (Target, bool) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
 	now := pls.set.Clock.Now()
-	fnl := pls.byID[pool]
-	if fnl == nil || fnl.engines == nil {
+	pst := pls.byName[pool]
+	if pst == nil || pst.engines == nil {
 		return Target{}, false
 	}
-	eng, ok := fnl.engines.Find(id)
+	eng, ok := pst.engines.Find(id)
 	if !ok || eng.Leaving {
 		return Target{}, false
 	}
-	return fnl.take(eng, from, ticket, ask, now), true
+	return pst.begin(eng, from, ticket, ask, now), true
 }
 
-func (fnl *finals) take(eng place.Engine, from, ticket string, ask place.Ask, now clock.Milli) Target {
-	tgt := Target{ID: ident.Process(eng.ID), Addr: eng.Addr, Ticket: ticket, From: from, Full: fnl.engines.Full(eng.ID, now)}
-	fnl.engines.Begin(eng.ID, ticket, ask.Prompt, ask.Gap, now)
+func (pst *poolState) begin(eng place.Engine, from, ticket string, ask place.Ask, now clock.Milli) Target {
+	tgt := Target{ID: ident.Process(eng.ID), Addr: eng.Addr, Ticket: ticket, From: from, Full: pst.engines.Full(eng.ID, now)}
+	pst.engines.Begin(eng.ID, ticket, ask.Prompt, ask.Gap, now)
 	return tgt
 }
 
-// Find gives a model engine by its name.
+// Find returns a model engine by its name.
 func (pls *Pools) Find(pool, id string) (place.Engine, bool) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
-	fnl := pls.byID[pool]
-	if fnl == nil || fnl.engines == nil {
+	pst := pls.byName[pool]
+	if pst == nil || pst.engines == nil {
 		return place.Engine{}, false
 	}
-	return fnl.engines.Find(id)
+	return pst.engines.Find(id)
 }
 
-// Usable tells whether a pool has endpoints that could be sent work.
+// Usable reports whether a pool has endpoints that could be sent requests.
 func (pls *Pools) Usable(name string) bool {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
-	fnl := pls.byID[name]
+	pst := pls.byName[name]
 	switch {
-	case fnl == nil:
+	case pst == nil:
 		return false
-	case fnl.plain != nil:
-		return fnl.plain.Usable() > 0
+	case pst.plain != nil:
+		return pst.plain.Usable() > 0
 	}
-	return fnl.engines.Len() > 0
+	return pst.engines.Len() > 0
 }
 
-// Knows tells whether a plain pool has so many endpoints that may be sent work, for
-// tests that wait for it.
+// Knows reports whether a plain pool has exactly this number of usable endpoints, for tests that
+// wait for it.
 func (pls *Pools) Knows(pool string, count int) bool {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
-	fnl := pls.byID[pool]
-	return fnl != nil && fnl.plain != nil && fnl.plain.Usable() == count
+	pst := pls.byName[pool]
+	return pst != nil && pst.plain != nil && pst.plain.Usable() == count
 }
 
-// Said notes an endpoint's own word on its load.
+// Said records the load that an endpoint reported.
 func (pls *Pools) Said(pool string, id ident.Process, rep talk.Reply) {
 	if !rep.HasLoad {
 		return
 	}
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
-	if fnl := pls.byID[pool]; fnl != nil && fnl.engines != nil {
-		fnl.engines.Said(string(id), rep.Load, pls.set.Clock.Now())
+	if pst := pls.byName[pool]; pst != nil && pst.engines != nil {
+		pst.engines.Said(string(id), rep.Load, pls.set.Clock.Now())
 	}
 }
 
-// Holds notes what a model engine said that it holds of prompts.
+// Holds records which parts of prompts a model engine reported as cached.
 func (pls *Pools) Holds(pool string, id ident.Process, parts []place.Part) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
-	if fnl := pls.byID[pool]; fnl != nil && fnl.engines != nil {
-		fnl.engines.Holds(string(id), parts)
+	if pst := pls.byName[pool]; pst != nil && pst.engines != nil {
+		pst.engines.Holds(string(id), parts)
 	}
 }
 
-// First notes the first event of a request at a model engine, and how long after its
-// sending it came.
+// First records the first event of a request at a model engine, and how long after sending it came.
 func (pls *Pools) First(pool, ticket string, took clock.Milli) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
-	if fnl := pls.byID[pool]; fnl != nil && fnl.engines != nil {
-		fnl.engines.First(ticket, took, pls.set.Clock.Now())
+	if pst := pls.byName[pool]; pst != nil && pst.engines != nil {
+		pst.engines.First(ticket, took, pls.set.Clock.Now())
 	}
 }
 
-// End notes the end of a request at a model engine, and the longest pause between events.
+// End records the end of a request at a model engine, and the longest pause between its events.
 func (pls *Pools) End(pool, ticket string, end place.Ending, pause clock.Milli) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
-	if fnl := pls.byID[pool]; fnl != nil && fnl.engines != nil {
-		fnl.engines.End(ticket, end, pause, pls.set.Clock.Now())
+	if pst := pls.byName[pool]; pst != nil && pst.engines != nil {
+		pst.engines.End(ticket, end, pause, pls.set.Clock.Now())
 	}
 }
 
-// Finish notes the end of a request at a plain endpoint.
+// Finish records the end of a request at a plain endpoint.
 func (pls *Pools) Finish(pool string, id ident.Process, ver route.Verdict, took clock.Milli) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
-	if fnl := pls.byID[pool]; fnl != nil && fnl.plain != nil {
-		fnl.plain.Finish(string(id), ver, took, pls.set.Clock.Now())
+	if pst := pls.byName[pool]; pst != nil && pst.plain != nil {
+		pst.plain.Finish(string(id), ver, took, pls.set.Clock.Now())
 	}
 }
 
-// Watch has cancel called if a call's endpoint turns out to have started again: nothing of
-// the call is there any more. It gives what is to be called when the call has ended.
+// Watch has cancel called if a call's endpoint turns out to have restarted: the call is lost then.
+// The returned function must be called when the call has ended.
 func (pls *Pools) Watch(pool string, id ident.Process, cancel func()) (stop func()) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
-	if fnl := pls.byID[pool]; fnl != nil {
-		return fnl.under.Watch(id, cancel)
+	if pst := pls.byName[pool]; pst != nil {
+		return pst.calls.Watch(id, cancel)
 	}
 	return func() {}
 }
 
-// Sent notes a first attempt, which pays into the pool's budget.
+// Sent records a first attempt, which pays into the pool's retry budget.
 func (pls *Pools) Sent(pool string) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
-	if fnl := pls.byID[pool]; fnl != nil {
-		fnl.budget.First()
+	if pst := pls.byName[pool]; pst != nil {
+		pst.budget.First()
 	}
 }
 
-// Repeat asks for a further attempt. What all instances may do together is divided
-// among those that are known.
+// Repeat takes a retry from the pool's budget, and reports whether there was one. The reserve of
+// all instances is divided among the live ones.
 func (pls *Pools) Repeat(pool string, vw *state.View) bool {
 	alive := 0
 	for _, mbr := range vw.Members() {
@@ -318,31 +319,31 @@
 	}
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
-	fnl := pls.byID[pool]
-	if fnl == nil {
+	pst := pls.byName[pool]
+	if pst == nil {
 		return false
 	}
-	fnl.budget.SetReserve(max(1, keptReserve*pls.set.Repeats/float64(max(alive, 1))))
-	return fnl.budget.Take()
+	pst.budget.SetReserve(max(1, reserveShare*pls.set.Repeats/float64(max(alive, 1))))
+	return pst.budget.Take()
 }
 
-// FirstByte gives the mean time from a route's final call to its first byte.
+// FirstByte returns the average time from a route's final call to its first byte.
 func (pls *Pools) FirstByte(route string) clock.Milli {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
-	if mean, ok := pls.firsts[route]; ok {
+	if mean, ok := pls.firstBytes[route]; ok {
 		return clock.Milli(mean)
 	}
-	return clock.Milli(firstGuess)
+	return clock.Milli(firstByteDefault)
 }
 
-// Began notes a time to a first byte.
+// Began records a time to first byte.
 func (pls *Pools) Began(route string, took clock.Milli) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
-	mean, ok := pls.firsts[route]
+	mean, ok := pls.firstBytes[route]
 	if !ok {
-		mean = firstGuess
+		mean = firstByteDefault
 	}
-	pls.firsts[route] = mean + firstShare*(float64(took)-mean)
+	pls.firstBytes[route] = mean + firstByteWeight*(float64(took)-mean)
 }
--- a/internal/pools/rates.go
+++ b/internal/pools/rates.go
@@ -8,13 +8,13 @@
 	"amaranthvalve/pkg/route"
 )
 
-// permitAgain is after how long whoever found no permit asks again, at the latest.
-const permitAgain = clock.Second
+// maxPermitWait is the longest wait before a permit is requested again.
+const maxPermitWait = clock.Second
 
-// closed lists the endpoints that may be sent nothing now since they name a rate.
-func (pls *Pools) closed(fnl *finals, share float64, now clock.Milli) []string {
+// rateLimited returns the endpoints that may get no request now because of the rate they declare.
+func (pls *Pools) rateLimited(pst *poolState, share float64, now clock.Milli) []string {
 	var ids []string
-	for _, id := range fnl.ids {
+	for _, id := range pst.ids {
 		if pls.rates.Has(id) && (share == 0 || pls.rates.Wait(id, now) > 0) {
 			ids = append(ids, id)
 		}
@@ -22,27 +22,27 @@
 	return ids
 }
 
-// Rated tells whether any endpoint of a pool names a rate.
+// Rated reports whether any endpoint of a pool declares a rate.
 func (pls *Pools) Rated(pool string) bool {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
-	fnl := pls.byID[pool]
-	return fnl != nil && slices.ContainsFunc(fnl.ids, pls.rates.Has)
+	pst := pls.byName[pool]
+	return pst != nil && slices.ContainsFunc(pst.ids, pls.rates.Has)
 }
 
-// Permit gives the name of an endpoint that names a rate and may be sent a request now, by
-// whoever asks this instance, which may send a share of the rate; empty if there is none, with
-// how long to wait for one.
+// Permit takes a permit for a request to some endpoint of a plain pool that declares a rate, of
+// which this instance may use a share, and returns the endpoint's name. If there is none, the name
+// is empty, and wait is how long to wait for one.
 func (pls *Pools) Permit(pool string, share float64) (id string, wait clock.Milli) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
 	now := pls.set.Clock.Now()
-	fnl := pls.byID[pool]
-	if fnl == nil || fnl.plain == nil {
-		return "", permitAgain
+	pst := pls.byName[pool]
+	if pst == nil || pst.plain == nil {
+		return "", maxPermitWait
 	}
-	wait = permitAgain
-	for _, ep := range fnl.plain.Standings() {
+	wait = maxPermitWait
+	for _, ep := range pst.plain.Standings() {
 		if !pls.rates.Has(ep.ID) || ep.Leaving {
 			continue
 		}
@@ -56,16 +56,16 @@
 	return "", wait
 }
 
-// PickOnly picks one plain endpoint, for which there is a permit; false if it is among those to
-// avoid, or full.
+// PickOnly chooses the given plain endpoint, for which the caller has a permit; false if it is to
+// be avoided, or is full.
 func (pls *Pools) PickOnly(pool, id string, avoid []string) (Target, bool) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
-	fnl := pls.byID[pool]
-	if fnl == nil || fnl.plain == nil || slices.Contains(avoid, id) {
+	pst := pls.byName[pool]
+	if pst == nil || pst.plain == nil || slices.Contains(avoid, id) {
 		return Target{}, false
 	}
-	others := slices.DeleteFunc(slices.Clone(fnl.ids), func(oth string) bool { return oth == id })
-	ep, ok := fnl.plain.Pick(route.Ask{Avoid: others}, pls.set.Clock.Now())
+	others := slices.DeleteFunc(slices.Clone(pst.ids), func(oth string) bool { return oth == id })
+	ep, ok := pst.plain.Pick(route.Ask{Avoid: others}, pls.set.Clock.Now())
 	return Target{ID: ident.Process(ep.ID), Addr: ep.Addr}, ok
 }
