--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,8 +1,7 @@
-// Package loop is the one thread that owns an instance's control state.
+// Package loop provides the event loop that owns an instance's control state.
 //
-// Whatever is learned comes to it as an event and runs there alone; so each event sees
-// a state that nobody else touches. Workers beside it do what waits, and bring back
-// what they learned as events.
+// One goroutine runs all events, so that each has exclusive access to the state. Workers beside it
+// do blocking work, and return their results as events.
 package loop
 
 import (
@@ -13,26 +12,26 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// eventRoom is the length of the thread's channel.
-const eventRoom = 1024
+// queueLength is the capacity of the event queue.
+const queueLength = 1024
 
-// Loop is a control thread. It is made by [New].
+// Loop is an event loop. It is made by [New].
 type Loop struct {
 	clk     clock.Clock
 	dropped func()
 	events  chan func(now clock.Milli)
-	work    sync.WaitGroup
+	workers sync.WaitGroup
 	ctx     context.Context
 }
 
-// New returns a thread that has not started; dropped is told of each event for which
-// there was no room.
+// New returns a loop that is not running yet; dropped is called for each event that found the queue
+// full.
 func New(clk clock.Clock, dropped func()) *Loop {
-	return &Loop{clk: clk, dropped: dropped, events: make(chan func(clock.Milli), eventRoom)}
+	return &Loop{clk: clk, dropped: dropped, events: make(chan func(clock.Milli), queueLength)}
 }
 
-// Run takes events until the context ends, then waits for the workers. step runs at
-// intervals, publish after each event and step; begin runs first.
+// Run handles events until the context ends, then waits for the workers. begin runs first, step at
+// intervals, and publish after each event and step.
 func (lp *Loop) Run(ctx context.Context, every time.Duration, begin func(), step, publish func(now clock.Milli)) {
 	lp.ctx = ctx
 	begin()
@@ -41,7 +40,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			lp.work.Wait()
+			lp.workers.Wait()
 			return
 		case event := <-lp.events:
 			event(lp.clk.Now())
@@ -52,18 +51,18 @@
 	}
 }
 
-// Go starts a worker that is waited for at the end; from the thread or its workers
-// only.
+// Go starts a worker, which Run waits for at its end. It may be called from the loop and its
+// workers only.
 func (lp *Loop) Go(work func(ctx context.Context)) {
-	lp.work.Add(1)
+	lp.workers.Add(1)
 	go func() {
-		defer lp.work.Done()
+		defer lp.workers.Done()
 		work(lp.ctx)
 	}()
 }
 
-// Do runs an event on the thread and waits for it. It gives false if the context ended
-// first; the event may then run later or never.
+// Do runs an event on the loop and waits for it. It returns false if the context ended first; the
+// event may then run later or never.
 func (lp *Loop) Do(ctx context.Context, event func(now clock.Milli)) bool {
 	done := make(chan struct{})
 	select {
@@ -79,9 +78,9 @@
 	}
 }
 
-// Get runs a question on the thread and gives its answer; false if the context ended first. The
-// question may then run later, and so its answer must come this way: a variable that it sets
-// would be written while the asker has gone on.
+// Get runs a query on the loop and returns its answer; false if the context ended first. The query
+// may then run later, so it must return its answer: setting a variable of the caller would be a
+// data race.
 func Get[T any](ctx context.Context, lp *Loop, question func(now clock.Milli) T) (answer T, ok bool) {
 	answers := make(chan T, 1)
 	if !lp.Do(ctx, func(now clock.Milli) { answers <- question(now) }) {
@@ -90,8 +89,8 @@
 	return <-answers, true
 }
 
-// Offer hands an event over without waiting. When there is no room it is dropped:
-// what is offered is learned again in a moment.
+// Offer queues an event without waiting. If the queue is full the event is dropped: what is offered
+// is learned again soon.
 func (lp *Loop) Offer(event func(now clock.Milli)) {
 	select {
 	case lp.events <- event:
@@ -100,8 +99,8 @@
 	}
 }
 
-// Context gives the context that ends with the thread.
+// Context returns the context that Run was called with.
 func (lp *Loop) Context() context.Context { return lp.ctx }
 
-// Waiting gives the number of events that wait.
+// Waiting returns the number of queued events.
 func (lp *Loop) Waiting() int { return len(lp.events) }
