--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -1,9 +1,8 @@
-// Package group keeps one instance's list of the others: it sends the probes that
-// package member asks for over the link, and brings answers back to the control
-// thread.
+// Package group runs the membership protocol of one instance: it sends the probes that package
+// member requests over the link, and returns the answers to the control loop.
 //
-// It decides nothing about the list and knows nothing of what rides along on
-// probes: whoever owns the control thread fills that in and reads it.
+// It makes no decisions about the member list, and does not interpret the data piggybacked on
+// probes: the owner of the control loop adds and reads that.
 package group
 
 import (
@@ -17,27 +16,26 @@
 )
 
 const (
-	// probeWait bounds a probe, and indirectWait one made for somebody else.
+	// probeWait bounds a probe, indirectWait one made on behalf of another instance.
 	probeWait    = 700 * time.Millisecond
 	indirectWait = 300 * time.Millisecond
 )
 
-// Group is one instance's place among the others. Its methods belong to the
-// control thread, but for [Group.ProbeFor].
+// Group is the membership of one instance. Except for [Group.ProbeFor], its methods must be called
+// on the control loop.
 type Group struct {
 	Self ident.Incarnation
 	List *member.List
-	// Link is nil for an instance that stands alone.
+	// Link is nil for an instance that runs alone.
 	Link *peer.Link
-	// Offer hands an event to the control thread, which may drop it; Go starts
-	// a worker.
+	// Offer queues an event on the control loop, which may drop it; Go starts a worker.
 	Offer func(event func(now clock.Milli))
 	Go    func(work func(ctx context.Context))
-	// Now tells the instant at which a probe is sent.
+	// Now returns the current time, for the sending of a probe.
 	Now func() clock.Milli
-	// Dress adds to a message what rides along on it; Heard is told of each
-	// message that came, and of when the question was sent that it answers
-	// (the present instant for a message that answers nothing).
+	// Dress adds piggybacked data to an outgoing message. Heard is called with each message that
+	// arrived, and with the instant at which the request that it answers was sent, zero for a
+	// message that is not an answer.
 	Dress func(msg *peer.Message)
 	Heard func(msg peer.Message, sent, now clock.Milli)
 }
@@ -45,18 +43,18 @@
 // Tick sends the probes that are due.
 func (grp *Group) Tick(now clock.Milli) {
 	for _, act := range grp.List.Tick(now) {
-		grp.act(act)
+		grp.execute(act)
 	}
 }
 
-// Doubt probes a member that gave no answer to something else.
+// Doubt probes a member that did not answer a request.
 func (grp *Group) Doubt(who ident.Incarnation, now clock.Milli) {
 	if act, ok := grp.List.Doubt(who, now); ok {
-		grp.act(act)
+		grp.execute(act)
 	}
 }
 
-func (grp *Group) act(act member.Action) {
+func (grp *Group) execute(act member.Action) {
 	if grp.Link == nil {
 		return
 	}
@@ -66,10 +64,10 @@
 		msg.Kind, msg.Target, to = peer.Indirect, act.Target, act.Via
 		msg.To = act.Via
 	}
-	grp.Go(func(ctx context.Context) { grp.ask(ctx, to, act.Target, msg) })
+	grp.Go(func(ctx context.Context) { grp.request(ctx, to, act.Target, msg) })
 }
 
-// Message makes a message with the news for its receiver.
+// Message returns a message with the gossip for its receiver.
 func (grp *Group) Message(kind peer.Kind, to ident.Incarnation) peer.Message {
 	msg := peer.Message{Kind: kind, From: grp.Self, To: to, News: grp.List.Gossip(to)}
 	if grp.Dress != nil {
@@ -78,8 +76,8 @@
 	return msg
 }
 
-// ask sends a probe and brings the answer back as an event.
-func (grp *Group) ask(ctx context.Context, to, target ident.Incarnation, msg peer.Message) {
+// request sends a probe, and returns the answer to the loop as an event.
+func (grp *Group) request(ctx context.Context, to, target ident.Incarnation, msg peer.Message) {
 	ctx, cancel := context.WithTimeout(ctx, probeWait)
 	defer cancel()
 	sent := grp.Now()
@@ -90,7 +88,7 @@
 	grp.Offer(func(now clock.Milli) {
 		grp.Learn(ans, sent, now)
 		if ans.From != to {
-			// Somebody else answers at this address now.
+			// Another instance has this address now.
 			grp.List.Drop(to, now)
 			return
 		}
@@ -101,8 +99,8 @@
 	})
 }
 
-// Greet probes an address to learn who is there: its incarnation is not known, or
-// it was taken for dead and may have been cut off.
+// Greet probes an address whose incarnation is not known, or an instance that was taken for dead
+// and may have been cut off.
 func (grp *Group) Greet(addr string, who ident.Incarnation) {
 	if grp.Link == nil {
 		return
@@ -125,7 +123,7 @@
 	})
 }
 
-// Learn takes what a message tells.
+// Learn applies the contents of a message.
 func (grp *Group) Learn(msg peer.Message, sent, now clock.Milli) {
 	grp.List.Learn(msg.News, now)
 	if grp.Heard != nil {
@@ -133,7 +131,7 @@
 	}
 }
 
-// ProbeFor probes a third instance for one that can't reach it.
+// ProbeFor probes a third instance on behalf of one that cannot reach it.
 func (grp *Group) ProbeFor(ctx context.Context, msg peer.Message) peer.Message {
 	ans := peer.Message{Kind: peer.Nack, From: grp.Self}
 	ctx, cancel := context.WithTimeout(ctx, indirectWait)
