--- a/pkg/admit/admit.go
+++ b/pkg/admit/admit.go
@@ -1,18 +1,18 @@
-// Package admit decides who is served next and who is refused at once.
+// Package admit implements admission control and fair queueing for a pool of endpoints.
 //
 // # Concepts
 //
-// A [Queue] stands before one pool of endpoints at one instance. Requests wait in
-// it while every endpoint is at its limit. The next one is chosen by priority
-// between services, then fairly between workspaces: start-time fair queueing (P.
-// Goyal, H. Vin, H. Cheng, SIGCOMM 1996) with the document's shares as weights,
-// so that a large workspace's burst waits behind itself and not before others.
+// A [Queue] holds the requests of one instance that wait for one pool of endpoints
+// while every endpoint is at its limit. The next request is selected by priority
+// between services, then by start-time fair queueing between workspaces (P. Goyal,
+// H. Vin, H. Cheng, SIGCOMM 1996) with the document's shares as weights, so that a
+// burst from a large workspace delays that workspace and not the others.
 //
-// A request that can't be answered in time is refused when that is known, not
-// when its time is up: on arrival when the wait ahead of it and the measured
-// need of its stages exceed its deadline, and while it waits as soon as the rest
-// of its time is shorter than its need. Serving it anyway costs endpoint time
-// that nobody uses and makes the next one late as well.
+// A request that can't meet its deadline is refused as soon as this is known, not
+// when the deadline passes: on arrival if the expected wait plus the estimated time
+// of its stages exceeds the deadline, and in the queue as soon as the remaining time
+// is shorter than that estimate. Serving it anyway would spend endpoint time on an
+// unused answer and delay the next request as well.
 package admit
 
 import (
@@ -21,76 +21,81 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// maxWaiting bounds a queue. At two kilobytes a request it is two megabytes.
-const maxWaiting = 1024
+// maxQueued bounds the length of a queue: 2 MB at 2 kB a request.
+const maxQueued = 1024
 
-// Ask is a request that wants to be served by the pool.
+// Ask describes a request for admission to the pool.
 type Ask struct {
-	// Workspace and Share: whose it is and its weight.
+	// Workspace is the flow for fair queueing, Share its weight.
 	Workspace string
 	Share     int
-	// Priority is the service's, higher first.
+	// Priority is the priority of the service; higher values are served first.
 	Priority int
 	// Deadline is the instant by which the whole request must be answered.
 	Deadline clock.Milli
-	// Need is the measured time of this stage and those after it.
+	// Need is the estimated time of this stage and the following ones.
 	Need clock.Milli
 }
 
-// Ticket is a place in a queue.
+// Ticket identifies a queued request.
 type Ticket struct {
 	ask   Ask
 	start float64
 	seq   uint64
-	// ready is called when the request is served or given up.
+	// ready is called once, when the request leaves the queue other than by [Queue.Leave].
 	ready func(word Word, now clock.Milli)
 }
 
-// Word is what a waiting request is told, once.
+// Word is the final outcome of a queued request.
 type Word int
 
-// The words.
+// Outcomes of a queued request.
 const (
-	// Served: its turn has come.
+	// Served: the request was dequeued for an endpoint.
 	Served Word = iota
-	// Late: it can't be answered in time any more.
+	// Late: the request can no longer meet its deadline.
 	Late
-	// Displaced: the line is full and its place went to a higher priority.
+	// Displaced: the queue was full and a request of higher priority took the slot.
 	Displaced
 )
 
-// Queue is the waiting line before a pool. The zero value is empty. It is not
+// Queue is the wait queue of a pool. The zero value is an empty queue. It is not
 // safe for concurrent use.
 type Queue struct {
 	waiting []*Ticket
+	// finish holds the last finish tag of each workspace, virtual the virtual time.
 	finish  map[string]float64
 	virtual float64
 	seq     uint64
-	// pace is the measured time between two servings while requests wait.
-	pace     float64
-	lastPop  clock.Milli
-	lastBusy bool
-	fifo     bool
+	// interval is the moving average of the time between dequeues under load, in
+	// milliseconds.
+	interval   float64
+	lastServed clock.Milli
+	lastBusy   bool
+	fifo       bool
 }
 
-// UseFIFO makes the queue serve in the order of arrival and refuse nobody for a
-// deadline: the baseline of the measurements.
+// UseFIFO makes the queue serve in order of arrival and ignore deadlines. It is a
+// baseline for measurements.
 func (que *Queue) UseFIFO() { que.fifo = true }
 
-// Len gives the number of waiting requests.
+// Len returns the number of queued requests.
 func (que *Queue) Len() int { return len(que.waiting) }
 
-// Verdict is the answer to a request to wait.
-type Verdict int
+// JoinResult is the result of [Queue.Join].
+type JoinResult int
 
-// The verdicts.
+// Results of [Queue.Join].
 const (
-	Waiting Verdict = iota
+	// Queued: the request was queued.
+	Queued JoinResult = iota
+	// Full: the queue is full.
 	Full
+	// TooLate: the request can't meet its deadline.
 	TooLate
 )
 
-// Wait estimates how long a request of this rank would wait now.
+// Wait estimates the queueing delay of a request that would join now.
 func (que *Queue) Wait(ask Ask) clock.Milli {
 	ahead := 0
 	mine := 0
@@ -102,15 +107,15 @@
 			mine++
 		}
 	}
-	// Fair queueing serves the others of the same rank in turn with us: at
-	// most as many as we have waiting, weighed by the shares; count one each.
-	others := que.turns(ask, mine+1)
-	return clock.Milli(float64(ahead+mine+others) * que.pace)
+	// Fair queueing interleaves workspaces of the same priority: before our
+	// n-th request each of them has up to n served, scaled by the shares.
+	others := que.interleaved(ask, mine+1)
+	return clock.Milli(float64(ahead+mine+others) * que.interval)
 }
 
-// turns counts those of the same priority in other workspaces that will be
-// served before our n-th.
-func (que *Queue) turns(ask Ask, n int) int {
+// interleaved counts the requests of the same priority from other workspaces that will
+// be served before the n-th request of this workspace.
+func (que *Queue) interleaved(ask Ask, n int) int {
 	counts := map[string]int{}
 	sum := 0
 	for _, tkt := range que.waiting {
@@ -126,11 +131,10 @@
 	return sum
 }
 
-// Join adds a request to the line, unless the line is full or the request
-// can't be answered in time. ready is called once, with the decision; it must
-// not block.
-func (que *Queue) Join(ask Ask, now clock.Milli, ready func(word Word, now clock.Milli)) (*Ticket, Verdict) {
-	if len(que.waiting) >= maxWaiting && !que.makeRoom(ask, now) {
+// Join adds a request to the queue, unless the queue is full or the request can't
+// meet its deadline. ready is called once with the outcome and must not block.
+func (que *Queue) Join(ask Ask, now clock.Milli, ready func(word Word, now clock.Milli)) (*Ticket, JoinResult) {
+	if len(que.waiting) >= maxQueued && !que.displace(ask, now) {
 		return nil, Full
 	}
 	if !que.fifo && now+que.Wait(ask)+ask.Need > ask.Deadline {
@@ -138,14 +142,14 @@
 	}
 	que.seq++
 	tkt := &Ticket{ask: ask, seq: que.seq, ready: ready}
-	tkt.start = que.stamp(ask)
+	tkt.start = que.startTag(ask)
 	que.waiting = append(que.waiting, tkt)
-	return tkt, Waiting
+	return tkt, Queued
 }
 
-// makeRoom gives up the last in line of a lower priority than the request's, if
-// there is one. A full line of drafts would otherwise refuse every booking.
-func (que *Queue) makeRoom(ask Ask, now clock.Milli) bool {
+// displace displaces the last request in the queue if its priority is lower than
+// that of the new one. Without it a queue full of drafts would refuse every booking.
+func (que *Queue) displace(ask Ask, now clock.Milli) bool {
 	if que.fifo {
 		return false
 	}
@@ -163,8 +167,9 @@
 	return true
 }
 
-// stamp gives the start tag of start-time fair queueing.
-func (que *Queue) stamp(ask Ask) float64 {
+// startTag assigns the start tag of start-time fair queueing and advances the finish
+// tag of the workspace.
+func (que *Queue) startTag(ask Ask) float64 {
 	if que.finish == nil {
 		que.finish = map[string]float64{}
 	}
@@ -173,18 +178,18 @@
 	return start
 }
 
-// Leave takes a request out whose caller has gone.
+// Leave removes a request whose caller has disconnected. ready is not called.
 func (que *Queue) Leave(tkt *Ticket) {
 	que.waiting = slices.DeleteFunc(que.waiting, func(oth *Ticket) bool { return oth == tkt })
 }
 
-// Serve hands a free place to the next request and tells whether there was one.
-// Those that can no longer be answered in time are given up first.
+// Serve dequeues the next request for a free slot and reports whether there was
+// one. Requests that can no longer meet their deadlines are dropped first.
 func (que *Queue) Serve(now clock.Milli) bool {
 	que.Expire(now)
 	if len(que.waiting) == 0 {
 		que.lastBusy = false
-		que.tidy()
+		que.resetTags()
 		return false
 	}
 	next := que.waiting[0]
@@ -195,11 +200,12 @@
 	}
 	que.Leave(next)
 	que.virtual = max(que.virtual, next.start)
-	que.measure(now)
+	que.updateInterval(now)
 	next.ready(Served, now)
 	return true
 }
 
+// before reports whether x is served before y.
 func (que *Queue) before(x, y *Ticket) bool {
 	switch {
 	case que.fifo:
@@ -212,19 +218,19 @@
 	return x.seq < y.seq
 }
 
-// measure keeps the average time between servings while the line was not empty.
-func (que *Queue) measure(now clock.Milli) {
+// updateInterval updates the average time between dequeues while the queue is not empty.
+func (que *Queue) updateInterval(now clock.Milli) {
 	if que.lastBusy {
-		gap := float64(now - que.lastPop)
-		if que.pace == 0 {
-			que.pace = gap
+		gap := float64(now - que.lastServed)
+		if que.interval == 0 {
+			que.interval = gap
 		}
-		que.pace += 0.1 * (gap - que.pace)
+		que.interval += 0.1 * (gap - que.interval)
 	}
-	que.lastPop, que.lastBusy = now, true
+	que.lastServed, que.lastBusy = now, true
 }
 
-// Expire gives up the requests that can no longer be answered in time, at once.
+// Expire drops the requests that can no longer meet their deadlines.
 func (que *Queue) Expire(now clock.Milli) {
 	if que.fifo {
 		return
@@ -242,9 +248,9 @@
 	}
 }
 
-// tidy forgets the workspaces' tags when nobody waits; they would otherwise
-// grow with every workspace ever seen.
-func (que *Queue) tidy() {
+// resetTags resets the fair-queueing tags when the queue is empty; the map would
+// otherwise grow with every workspace ever seen.
+func (que *Queue) resetTags() {
 	if len(que.finish) > 0 {
 		clear(que.finish)
 		que.virtual = 0
--- a/pkg/admit/admit_test.go
+++ b/pkg/admit/admit_test.go
@@ -18,16 +18,16 @@
 
 func ignore(Word, clock.Milli) {}
 
-// TestBurstWaitsBehindItself: a large workspace has a hundred requests waiting
-// when a small one's comes. With equal shares the small one is served within the
-// next two.
-func TestBurstWaitsBehindItself(t *testing.T) {
+// TestBurstDelaysOnlyItsWorkspace guards against a burst that delays other workspaces:
+// a large workspace has 100 requests queued when a request of a small one arrives.
+// With equal shares the latter is among the next two served.
+func TestBurstDelaysOnlyItsWorkspace(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	var que Queue
 	var order []string
 	join := func(wsp string) {
 		_, ver := que.Join(Ask{Workspace: wsp, Share: 1, Deadline: clock.Hour}, 1000, func(Word, clock.Milli) { order = append(order, wsp) })
-		gom.Expect(ver).To(gomega.Equal(Waiting))
+		gom.Expect(ver).To(gomega.Equal(Queued))
 	}
 	for range 100 {
 		join("large")
@@ -39,10 +39,9 @@
 	gom.Expect(order).To(gomega.ContainElement("small"))
 }
 
-// TestSharesAreKept: whatever the arrivals, while several workspaces wait they
-// are served in proportion to their shares, priorities first, and nobody is
-// served after the time at which it could still be answered.
-func TestSharesAreKept(t *testing.T) {
+// TestServiceFollowsShares: while two workspaces have requests queued, they are served
+// in proportion to their shares.
+func TestServiceFollowsShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var que Queue
 		shares := map[string]int{"a": rapid.IntRange(1, 4).Draw(t, "a"), "b": rapid.IntRange(1, 4).Draw(t, "b")}
@@ -66,13 +65,13 @@
 	})
 }
 
-// TestNobodyIsServedLate: a request whose rest of time is shorter than its need
-// is given up at once, and exactly one word comes for each that waits.
-func TestNobodyIsServedLate(t *testing.T) {
+// TestNoRequestIsServedLate: a request whose remaining time is shorter than its
+// estimate is never served, and each queued request gets exactly one outcome.
+func TestNoRequestIsServedLate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var que Queue
 		now := clock.Milli(1)
-		words := map[int]int{}
+		outcomes := map[int]int{}
 		joined := 0
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += clock.Milli(rapid.IntRange(0, 50).Draw(t, "passes"))
@@ -82,12 +81,12 @@
 					Need: clock.Milli(rapid.IntRange(0, 40).Draw(t, "need")), Deadline: now + clock.Milli(rapid.IntRange(0, 200).Draw(t, "deadline")),
 				}
 				_, ver := que.Join(ask, now, func(word Word, at clock.Milli) {
-					words[i]++
+					outcomes[i]++
 					if word == Served && at+ask.Need > ask.Deadline {
-						t.Fatalf("served at %d, needs %d, deadline %d", at, ask.Need, ask.Deadline)
+						t.Fatalf("served at %d ms with an estimate of %d ms, deadline %d ms", at, ask.Need, ask.Deadline)
 					}
 				})
-				if ver == Waiting {
+				if ver == Queued {
 					joined++
 				}
 			} else {
@@ -95,48 +94,49 @@
 			}
 		}
 		que.Expire(now + clock.Hour)
-		if len(words) != joined {
-			t.Fatalf("%d joined, %d had word", joined, len(words))
+		if len(outcomes) != joined {
+			t.Fatalf("%d requests were queued, %d got an outcome", joined, len(outcomes))
 		}
-		for i, n := range words {
+		for i, n := range outcomes {
 			if n != 1 {
-				t.Fatalf("%d had %d words", i, n)
+				t.Fatalf("request %d got %d outcomes", i, n)
 			}
 		}
 	})
 }
 
-// TestBookingTakesADraftsPlace: a thousand drafts fill the line. A booking is let
-// in all the same, the last draft is given up at once, and the booking is served
-// next. One more draft is refused.
-func TestBookingTakesADraftsPlace(t *testing.T) {
+// TestBookingDisplacesDraft guards against a queue full of drafts that refuses
+// bookings: a booking is queued, the last draft is displaced, and the booking is
+// served next. One more draft is refused.
+func TestBookingDisplacesDraft(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	var que Queue
-	gaveUp, served := 0, ""
-	join := func(priority int, name string) Verdict {
+	displaced, served := 0, ""
+	join := func(priority int, name string) JoinResult {
 		_, ver := que.Join(Ask{Workspace: "w", Share: 1, Priority: priority, Deadline: clock.Hour}, 1, func(word Word, _ clock.Milli) {
 			if word == Displaced {
-				gaveUp++
+				displaced++
 			} else if served == "" {
 				served = name
 			}
 		})
 		return ver
 	}
-	for range maxWaiting {
-		gom.Expect(join(3, "draft")).To(gomega.Equal(Waiting))
+	for range maxQueued {
+		gom.Expect(join(3, "draft")).To(gomega.Equal(Queued))
 	}
 	gom.Expect(join(3, "draft")).To(gomega.Equal(Full))
-	gom.Expect(join(9, "booking")).To(gomega.Equal(Waiting))
-	gom.Expect(gaveUp).To(gomega.Equal(1))
+	gom.Expect(join(9, "booking")).To(gomega.Equal(Queued))
+	gom.Expect(displaced).To(gomega.Equal(1))
 	que.Serve(2)
 	gom.Expect(served).To(gomega.Equal("booking"))
 }
 
-// TestRefusalsEnd: a stage was so slow that every request is refused on arrival.
-// Nothing is measured meanwhile; after some seconds requests are let in again,
-// for otherwise nobody would ever learn that the stage is well.
-func TestRefusalsEnd(t *testing.T) {
+// TestStaleEstimateExpires guards against a stage that is refused for ever: it was so
+// slow that every request is refused on arrival, so there are no new samples. The
+// estimate falls back to the guess once it is stale, and the next request measures
+// whether the stage has recovered.
+func TestStaleEstimateExpires(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	var ned Need
 	for range 50 {
@@ -146,10 +146,10 @@
 	gom.Expect(ned.Careful(100, 1000+6*clock.Second)).To(gomega.Equal(clock.Milli(100)))
 }
 
-// TestRetriesStayInTheirBudget: every call fails for a long time while requests
-// wait for places. Retries stay a tenth of the first attempts, and a service
-// that weighs attainment gets more only when nobody waits.
-func TestRetriesStayInTheirBudget(t *testing.T) {
+// TestRetriesStayWithinBudget: every call fails while requests are queued. Retries
+// stay at a tenth of the first attempts plus the reserve, for the exception beyond the
+// budget applies only while the queue is empty.
+func TestRetriesStayWithinBudget(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	rt := route.New("dc1", rand.New(rand.NewPCG(1, 1)))
 	rt.Sync([]route.Endpoint{{ID: "e", Zone: "dc1"}})
--- a/pkg/admit/gate.go
+++ b/pkg/admit/gate.go
@@ -6,58 +6,59 @@
 	"amaranthvalve/pkg/route"
 )
 
-// Gate joins the decisions about one pool of endpoints at one instance: which
-// endpoint, who waits, who is refused, and whether there may be a retry. It is
-// not safe for concurrent use; the daemon holds a lock around it, and the
-// measurements call it in fake time.
+// Gate combines endpoint selection, queueing, refusals and the retry budget of one
+// pool of endpoints at one instance. It is not safe for concurrent use: the daemon
+// guards it with a lock, and measurements call it in simulated time.
 type Gate struct {
 	rt  *route.Pool
 	que Queue
 	bdg retry.Budget
-	// plain makes every retry allowed, for the baseline.
+	// plain allows every retry, as a baseline.
 	plain bool
 }
 
 // NewGate returns the gate of a pool.
 func NewGate(rt *route.Pool) *Gate { return &Gate{rt: rt} }
 
-// Pool gives the pool's endpoints.
+// Pool returns the endpoints of the pool.
 func (gt *Gate) Pool() *route.Pool { return gt.rt }
 
-// Queue gives the line before the pool.
+// Queue returns the wait queue of the pool.
 func (gt *Gate) Queue() *Queue { return &gt.que }
 
-// UsePlainRetries takes the bound off the retries: a baseline.
+// UsePlainRetries removes the retry budget. It is a baseline for measurements.
 func (gt *Gate) UsePlainRetries() { gt.plain = true }
 
-// Answer is what became of a wish to use the pool.
-type Answer int
+// EnterResult is the result of [Gate.Enter].
+type EnterResult int
 
-// The answers.
+// Results of [Gate.Enter].
 const (
-	// Granted: the endpoint was taken.
-	Granted Answer = iota
-	// Waits: ready will be told.
+	// Granted: an endpoint was assigned.
+	Granted EnterResult = iota
+	// Waits: the request was queued; ready will be called.
 	Waits
-	// RefusedFull, RefusedLate, RefusedEmpty: nothing was taken.
+	// RefusedFull: the queue is full.
 	RefusedFull
+	// RefusedLate: the request can't meet its deadline.
 	RefusedLate
+	// RefusedEmpty: the pool has no usable endpoint.
 	RefusedEmpty
 )
 
-// Enter asks for a place at an endpoint. When it must be waited for, ready is
-// told once: Served with an endpoint, or why there is none.
-func (gt *Gate) Enter(where route.Ask, ask Ask, now clock.Milli, ready func(ep route.Endpoint, word Word)) (route.Endpoint, *Ticket, Answer) {
+// Enter requests a slot at an endpoint. If the request has to wait, ready is called
+// once: with Served and the endpoint, or with the reason why there is none.
+func (gt *Gate) Enter(where route.Ask, ask Ask, now clock.Milli, ready func(ep route.Endpoint, word Word)) (route.Endpoint, *Ticket, EnterResult) {
 	if gt.rt.Usable() == 0 {
 		return route.Endpoint{}, nil, RefusedEmpty
 	}
 	if gt.que.Len() == 0 {
-		if ep, word := gt.give(where, Served, now); word == Served {
+		if ep, word := gt.assign(where, Served, now); word == Served {
 			return ep, nil, Granted
 		}
 	}
 	tkt, ver := gt.que.Join(ask, now, func(word Word, at clock.Milli) {
-		ready(gt.give(where, word, at))
+		ready(gt.assign(where, word, at))
 	})
 	switch ver {
 	case Full:
@@ -68,14 +69,15 @@
 	return route.Endpoint{}, tkt, Waits
 }
 
-func (gt *Gate) give(where route.Ask, word Word, now clock.Milli) (route.Endpoint, Word) {
+// assign picks an endpoint for a request that was served and passes on other outcomes.
+func (gt *Gate) assign(where route.Ask, word Word, now clock.Milli) (route.Endpoint, Word) {
 	if word != Served {
 		return route.Endpoint{}, word
 	}
 	ep, ok := gt.rt.Pick(where, now)
 	if !ok && len(where.Avoid) > 0 {
-		// Only endpoints that were tried before are free: better one of those
-		// than none.
+		// Only endpoints that were already tried have free slots; use one of
+		// those rather than none.
 		ep, ok = gt.rt.Pick(route.Ask{Prefix: where.Prefix}, now)
 	}
 	if !ok {
@@ -84,14 +86,14 @@
 	return ep, Served
 }
 
-// Finish gives a place back and serves those who wait.
+// Finish releases a slot and serves queued requests.
 func (gt *Gate) Finish(id string, ver route.Verdict, took, now clock.Milli) {
 	gt.rt.Finish(id, ver, took, now)
 	gt.Tick(now)
 }
 
-// Tick hands out free places, gives up those who are late and lets benched
-// endpoints be probed.
+// Tick assigns free slots to queued requests, lets ejected endpoints be probed and
+// drops requests that can no longer meet their deadlines.
 func (gt *Gate) Tick(now clock.Milli) {
 	served := true
 	for served && gt.rt.Room(route.Ask{}) {
@@ -100,19 +102,20 @@
 	gt.que.Expire(now)
 }
 
-// First notes a first attempt, which pays for retries.
+// First records a first attempt, which adds to the retry budget.
 func (gt *Gate) First() { gt.bdg.First() }
 
-// MayRetry asks for one retry. Where the bounds allow it there may be one beyond
-// the budget while nobody waits and less than half of what the endpoints can
-// take is under way: the budget is there so that retries don't add to an
-// overload, and where there is none a refusal throws away what the stages before
-// have cost. Endpoints that refuse or time out lower their limits, so that this
-// way closes by itself.
+// MayRetry reports whether one retry is allowed and takes it from the budget. If the
+// bounds permit it, a retry beyond the budget is allowed while the queue is empty and
+// less than half of the endpoints' capacity is in flight. The budget keeps retries
+// from adding to an overload; without an overload, a refusal would only waste the
+// work of earlier stages. Refusals and timeouts lower the endpoints' limits, which
+// ends this exception without further checks.
 func (gt *Gate) MayRetry(bnd retry.Bounds) bool {
 	return gt.plain || gt.bdg.Take() || bnd.Idle() && gt.idle()
 }
 
+// idle reports whether no request waits and less than half of the capacity is in use.
 func (gt *Gate) idle() bool {
 	return gt.que.Len() == 0 && 2*gt.rt.InFlight() < gt.rt.Capacity()
 }
--- a/pkg/admit/needs.go
+++ b/pkg/admit/needs.go
@@ -3,60 +3,59 @@
 import "amaranthvalve/pkg/clock"
 
 const (
-	// needShare is the weight of a new sample in the mean and the deviation.
-	needShare = 0.1
-	// needLife is how long a measurement counts when no other follows.
-	needLife = 5 * clock.Second
+	// sampleWeight is the weight of a new sample in the mean and the deviation.
+	sampleWeight = 0.1
+	// staleAfter is the time after the last sample at which an estimate is stale.
+	staleAfter = 5 * clock.Second
 )
 
-// Need is the measured time of one stage, as mean and mean deviation (V.
-// Jacobson, "Congestion avoidance and control", SIGCOMM 1988). The zero value
-// has measured nothing and answers with the document's guess.
+// Need estimates the service time of one stage by the moving mean and mean
+// deviation of its samples (V. Jacobson, "Congestion avoidance and control",
+// SIGCOMM 1988). The zero value has no samples and returns the document's guess.
 //
-// A measurement that is old counts only if it is below the guess. A stage that
-// was slow for a while would otherwise be refused for good: while every request
-// is refused as too late nothing is measured, and nothing tells that the stage
-// is well again.
+// A stale estimate is capped at the guess. Otherwise a stage that was slow for a
+// while would be refused for ever: while every request is refused as too late there
+// are no new samples that could show the recovery.
 type Need struct {
-	mean float64
-	dev  float64
-	seen clock.Milli
+	mean       float64
+	dev        float64
+	lastSample clock.Milli
 }
 
-// Sample notes a stage's time, at the instant now.
+// Sample records the duration of one run of the stage that ended at now.
 func (ned *Need) Sample(took, now clock.Milli) {
 	val := float64(took)
-	if ned.seen == 0 {
-		ned.mean, ned.dev, ned.seen = val, val/2, now
+	if ned.lastSample == 0 {
+		ned.mean, ned.dev, ned.lastSample = val, val/2, now
 		return
 	}
-	ned.seen = now
+	ned.lastSample = now
 	diff := val - ned.mean
-	ned.mean += needShare * diff
+	ned.mean += sampleWeight * diff
 	if diff < 0 {
 		diff = -diff
 	}
-	ned.dev += needShare * (diff - ned.dev)
+	ned.dev += sampleWeight * (diff - ned.dev)
 }
 
-// Typical gives the mean: what a stage will probably take.
+// Typical returns the mean service time.
 func (ned *Need) Typical(guess, now clock.Milli) clock.Milli {
-	return ned.judge(clock.Milli(ned.mean), guess, now)
+	return ned.current(clock.Milli(ned.mean), guess, now)
 }
 
-// Careful gives the mean and twice the deviation: what a stage will hardly
-// exceed. Admission goes by it. Going by the mean was measured and dropped:
-// under overload it attained less, for the half of the requests that take
-// longer than the mean were let in and were late.
+// Careful returns the mean plus twice the deviation, an upper estimate that few runs
+// exceed. Admission uses it because the mean admits, under overload, the half of the
+// requests that take longer than the mean, and these then miss their deadlines.
 func (ned *Need) Careful(guess, now clock.Milli) clock.Milli {
-	return ned.judge(clock.Milli(ned.mean+2*ned.dev), guess, now)
+	return ned.current(clock.Milli(ned.mean+2*ned.dev), guess, now)
 }
 
-func (ned *Need) judge(measured, guess, now clock.Milli) clock.Milli {
+// current returns the measured value, or the guess where there is no fresh measurement.
+func (ned *Need) current(measured, guess, now clock.Milli) clock.Milli {
 	switch {
-	case ned.seen == 0:
+	case ned.lastSample == 0:
 		return guess
-	case now-ned.seen > needLife:
+	case now-ned.lastSample > staleAfter:
 		return min(measured, guess)
 	}
 	return measured
--- a/pkg/admit/time.go
+++ b/pkg/admit/time.go
@@ -2,54 +2,53 @@
 
 import "amaranthvalve/pkg/clock"
 
-// crowdedShare of the time left to a request is what it may need while its pools are
-// crowded. The need is told from waits as they are now; more urgent requests that come
-// later pass it, and others' pieces make its calls longer: a tenth took 0.9 s longer than
-// was told. Those let in on the last millisecond were late as a rule, and took the places
-// of others.
-const crowdedShare = 0.75
+// contendedShare is the share of the target latency that a request's estimate may use up
+// while its pools are contended. The estimate is made from current waits, but more urgent
+// requests that arrive later go first and items of other requests lengthen its calls: a
+// tenth of the requests took 0.9 s longer than estimated. Without this margin most requests
+// admitted at the last millisecond were late and used slots that others needed.
+const contendedShare = 0.75
 
-// Times is what is known of a request's time when it comes.
+// Times is the time budget of a request on arrival.
 type Times struct {
-	// Need is the measured need of its stages with the waits before them.
+	// Need is the estimated time of the stages, including their queueing delays.
 	Need clock.Milli
-	// Left is how long its caller will wait, and InTime how long an answer is of full
-	// worth; a request without a goal has the same for both.
+	// Left is the time until the caller's deadline, InTime the time until the target
+	// latency is exceeded. They are equal for a request without a target latency.
 	Left   clock.Milli
 	InTime clock.Milli
-	// Crowded tells that others wait at its pools.
+	// Crowded is set if other requests are queued at the pools of this one.
 	Crowded bool
 }
 
-// Entry is what becomes of a request when it comes.
-type Entry int
+// Admission is the admission decision for a request.
+type Admission int
 
-// The entries.
+// Admission decisions.
 const (
-	// LetIn: it may be in time, or nobody waits whom it would hold up.
-	LetIn Entry = iota
-	// Hopeless: it can't be answered before its caller leaves.
+	// LetIn: the request is expected in time, or no queued request would be delayed by it.
+	LetIn Admission = iota
+	// Hopeless: the request can't be answered before the caller's deadline.
 	Hopeless
-	// LateInCrowd: it will probably be late, and would take the place of another that
-	// can be in time.
+	// LateInCrowd: the request would probably exceed the target latency and take a slot
+	// from another request that can meet it.
 	LateInCrowd
 )
 
-// Judge decides at once, when the request comes. Refused then it has cost nothing; the
-// same request refused later has used others' time for nothing, and its caller has less
-// left to come back with.
-func (tms Times) Judge() Entry {
+// Judge decides on admission when the request arrives. A refusal on arrival costs nothing;
+// a later one wastes endpoint time and leaves the caller less time for a retry.
+func (tms Times) Judge() Admission {
 	switch {
 	case tms.Need > tms.Left:
 		return Hopeless
-	case tms.Crowded && float64(tms.Need) > crowdedShare*float64(tms.InTime):
+	case tms.Crowded && float64(tms.Need) > contendedShare*float64(tms.InTime):
 		return LateInCrowd
 	}
 	return LetIn
 }
 
-// Over gives by how much a request's need is beyond what it has: when to come back, at
-// the soonest, if the waits shrink by themselves.
+// Over returns by how much the estimate exceeds the available time. It is the shortest
+// useful retry-after delay if the queues drain in the meantime.
 func (tms Times) Over() clock.Milli {
 	if tms.Need > tms.Left {
 		return tms.Need - tms.Left
