--- a/pkg/limit/limit.go
+++ b/pkg/limit/limit.go
@@ -1,13 +1,12 @@
-// Package limit bounds how much is under way: at each endpoint by what the
-// endpoint has shown it can take, and for each workspace by its document.
+// Package limit bounds concurrency and request rates: adaptive concurrency limits
+// for endpoints, document limits for workspaces, and rates that endpoints declare.
 //
-// An endpoint's limit is found by additive increase and multiplicative decrease
-// (D.-M. Chiu and R. Jain, 1989), as congestion control does: a success at a
-// full limit raises it a little, an overload lowers it by a share, at most once
-// in the time of an answer, since all answers of one bad moment arrive together.
-// Latency counts as overload only when it is several times the best seen lately:
-// an engine that batches answers more slowly the fuller it is, long before it
-// does less work.
+// An endpoint's limit follows additive increase and multiplicative decrease (D.-M.
+// Chiu and R. Jain, 1989), as in congestion control. A success while the limit is at
+// least half used raises it slightly; an overload lowers it by a factor, at most once
+// per response time, since the answers of one overload arrive together. High latency
+// counts as overload only well above the best latency seen: an engine that batches
+// answers more slowly as its batch fills, long before its throughput falls.
 package limit
 
 import (
@@ -16,36 +15,38 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// Constants of an endpoint's limit.
+// Parameters of an endpoint's concurrency limit.
 const (
 	initialLimit = 4.0
 	minLimit     = 1.0
 	maxLimit     = 256.0
-	// lost is the share kept after a refusal or a timeout, inflatedKept after an
-	// answer that took too long.
-	lost         = 0.7
-	inflatedKept = 0.9
-	// inflated times the best latency counts as overload. A full batch takes up
-	// to half as long again as an empty one; at twice the best there is a queue.
-	inflated = 2.0
-	// relaxed times the best latency or less lets the limit grow.
-	relaxed = 1.7
-	// floor is the latency below which nothing counts as inflated: a few
-	// milliseconds are scheduling noise.
-	floor = 30
-	// corrected is the share by which the best latency moves towards what is
-	// seen at the smallest limit.
-	corrected = 0.2
+	// overloadFactor is the decrease factor after a refusal or a timeout, inflatedFactor
+	// that after an answer with inflated latency.
+	overloadFactor = 0.7
+	inflatedFactor = 0.9
+	// inflatedRatio is the multiple of the best latency above which an answer counts as
+	// an overload. A full batch takes up to 1.5 times as long as an empty one; at
+	// twice the best latency there is a queue.
+	inflatedRatio = 2.0
+	// relaxedRatio is the multiple of the best latency up to which the limit may grow.
+	relaxedRatio = 1.7
+	// noiseFloor is the latency in milliseconds below which none counts as inflated,
+	// since differences of a few milliseconds are scheduling noise.
+	noiseFloor = 30
+	// bestCorrection is the share by which the best latency moves towards a higher one
+	// that is seen at the smallest limit.
+	bestCorrection = 0.2
 )
 
-// Adaptive is an endpoint's limit. The zero value starts at 4.
+// Adaptive is the adaptive concurrency limit of an endpoint. The zero value starts
+// at 4.
 type Adaptive struct {
 	cur     float64
 	lowered clock.Milli
 	best    float64
 }
 
-// Limit gives how many requests may be under way.
+// Limit returns the maximum number of requests in flight.
 func (adp *Adaptive) Limit() int { return int(adp.value() + 0.5) }
 
 func (adp *Adaptive) value() float64 {
@@ -55,60 +56,61 @@
 	return adp.cur
 }
 
-// Succeeded notes an answer that took so long while inFlight were under way.
+// Succeeded records an answer and its latency while inFlight requests were in flight.
 //
-// The best latency is a minimum that would stay for ever: an endpoint that got
-// a larger model looked overloaded for good. At the smallest limit the endpoint
-// has no queue of ours, so that what it shows there is its own pace, and the
-// best moves towards it. A minimum over a window was tried first and dropped: in
-// a long overload it rises to the overloaded latency, and the limit with it.
+// The best latency is a minimum that would otherwise never rise: an endpoint that
+// loads a larger model would look overloaded permanently. At the smallest limit the
+// endpoint has no queue of ours, so its latency there is its service time, and the
+// best latency moves towards it. A minimum over a time window is no substitute: in a
+// long overload it rises to the overloaded latency and raises the limit as well.
 func (adp *Adaptive) Succeeded(now, took clock.Milli, inFlight int) {
 	val := max(float64(took), 1)
 	if adp.best == 0 || val < adp.best {
 		adp.best = val
 	}
-	if adp.value() <= minLimit && val > relaxed*adp.best {
-		adp.best += corrected * (val - adp.best)
+	if adp.value() <= minLimit && val > relaxedRatio*adp.best {
+		adp.best += bestCorrection * (val - adp.best)
 	}
 	switch {
-	case took > floor && val > inflated*adp.best:
-		adp.lower(now, took, inflatedKept)
-	case 2*inFlight >= adp.Limit() && (took <= floor || val <= relaxed*adp.best):
+	case took > noiseFloor && val > inflatedRatio*adp.best:
+		adp.decrease(now, took, inflatedFactor)
+	case 2*inFlight >= adp.Limit() && (took <= noiseFloor || val <= relaxedRatio*adp.best):
 		adp.cur = min(maxLimit, adp.value()+1/adp.value())
 	}
 }
 
-// Overloaded notes a refusal or a timeout after so long.
-func (adp *Adaptive) Overloaded(now, took clock.Milli) { adp.lower(now, took, lost) }
+// Overloaded records a refusal or a timeout and the time it took.
+func (adp *Adaptive) Overloaded(now, took clock.Milli) { adp.decrease(now, took, overloadFactor) }
 
-func (adp *Adaptive) lower(now, took clock.Milli, kept float64) {
-	if adp.lowered != 0 && now-adp.lowered < max(took, floor) {
+// decrease multiplies the limit by factor, at most once per response time.
+func (adp *Adaptive) decrease(now, took clock.Milli, factor float64) {
+	if adp.lowered != 0 && now-adp.lowered < max(took, noiseFloor) {
 		return
 	}
 	adp.lowered = now
-	adp.cur = max(minLimit, kept*adp.value())
+	adp.cur = max(minLimit, factor*adp.value())
 }
 
-// Workspace holds a workspace's limits at one instance. The zero value lets
-// nothing through; see [NewWorkspace].
+// Workspace enforces the rate and concurrency limits of a workspace at one instance.
+// The zero value is not usable; see [NewWorkspace].
 type Workspace struct {
-	bucket   *rate.Limiter
-	inFlight int
-	most     int
+	bucket      *rate.Limiter
+	inFlight    int
+	maxInFlight int
 }
 
-// NewWorkspace returns limits of so many requests a second with a burst, and so
-// many under way. An instance is given its part of the document's rate.
-func NewWorkspace(perSecond float64, burst, most int) *Workspace {
-	return &Workspace{bucket: rate.NewLimiter(rate.Limit(perSecond), burst), most: most}
+// NewWorkspace returns limits of perSecond requests a second with a burst, and at
+// most maxInFlight requests in flight. Each instance gets its share of the document's
+// rate, see [Part].
+func NewWorkspace(perSecond float64, burst, maxInFlight int) *Workspace {
+	return &Workspace{bucket: rate.NewLimiter(rate.Limit(perSecond), burst), maxInFlight: maxInFlight}
 }
 
-// Set changes the limits and keeps what is under way. A burst that changed means
-// a changed document: the bucket starts full, for it would otherwise refuse the
-// first requests after the owner raised the limit, with what it had left from
-// the old one.
-func (wsp *Workspace) Set(perSecond float64, burst, most int, now clock.Milli) {
-	wsp.most = most
+// Set changes the limits and keeps the count of requests in flight. A different
+// burst means a changed document, and the bucket starts full: with the tokens left
+// from the old limit it would refuse the first requests after the limit was raised.
+func (wsp *Workspace) Set(perSecond float64, burst, maxInFlight int, now clock.Milli) {
+	wsp.maxInFlight = maxInFlight
 	if wsp.bucket.Burst() != burst {
 		wsp.bucket = rate.NewLimiter(rate.Limit(perSecond), burst)
 		return
@@ -116,20 +118,23 @@
 	wsp.bucket.SetLimitAt(now.Time(), rate.Limit(perSecond))
 }
 
-// Verdict is the answer to a request to enter.
-type Verdict int
+// EnterResult is the result of [Workspace.Enter].
+type EnterResult int
 
-// The verdicts.
+// Results of [Workspace.Enter].
 const (
-	Entered Verdict = iota
+	// Admitted: the request was admitted.
+	Admitted EnterResult = iota
+	// TooFast: the rate limit is exceeded.
 	TooFast
+	// TooMany: the concurrency limit is reached.
 	TooMany
 )
 
-// Enter asks for one more request under way. For TooFast the span says when the
-// next one is let through.
-func (wsp *Workspace) Enter(now clock.Milli) (Verdict, clock.Milli) {
-	if wsp.inFlight >= wsp.most {
+// Enter requests admission of one more request. For TooFast it also returns the time
+// until the next one is admitted.
+func (wsp *Workspace) Enter(now clock.Milli) (EnterResult, clock.Milli) {
+	if wsp.inFlight >= wsp.maxInFlight {
 		return TooMany, 0
 	}
 	rsv := wsp.bucket.ReserveN(now.Time(), 1)
@@ -141,8 +146,8 @@
 		return TooFast, clock.FromDuration(wait) + 1
 	}
 	wsp.inFlight++
-	return Entered, 0
+	return Admitted, 0
 }
 
-// Leave notes that a request that entered has ended.
+// Leave records the end of an admitted request.
 func (wsp *Workspace) Leave() { wsp.inFlight-- }
--- a/pkg/limit/limit_test.go
+++ b/pkg/limit/limit_test.go
@@ -13,26 +13,25 @@
 
 func TestMain(m *testing.M) { golden.Main(m) }
 
-// TestRaisedLimitHoldsAtOnce: an owner raises a workspace's limit. The first
-// request after that is let through; it was refused with what the bucket had
-// left from the old limit.
-func TestRaisedLimitHoldsAtOnce(t *testing.T) {
+// TestRaisedLimitAppliesAtOnce guards against refusing the first request after a
+// workspace's limit was raised because the bucket still has the tokens of the old one.
+func TestRaisedLimitAppliesAtOnce(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	wsp := NewWorkspace(0.1, 1, 10)
 	wsp.Set(0.1, 1, 10, 1000)
 	ver, _ := wsp.Enter(1000)
-	gom.Expect(ver).To(gomega.Equal(Entered))
+	gom.Expect(ver).To(gomega.Equal(Admitted))
 	ver, wait := wsp.Enter(1001)
 	gom.Expect(ver).To(gomega.Equal(TooFast))
 	gom.Expect(wait).To(gomega.BeNumerically("~", 10*clock.Second, 10))
 	wsp.Set(5000, 5000, 10, 1002)
 	ver, _ = wsp.Enter(1002)
-	gom.Expect(ver).To(gomega.Equal(Entered))
+	gom.Expect(ver).To(gomega.Equal(Admitted))
 }
 
-// TestRateIsKept: whatever the order of arrivals, no more enter in a span than
-// the rate and the burst allow.
-func TestRateIsKept(t *testing.T) {
+// TestRateIsEnforced: for any arrivals, no more requests are admitted in a period
+// than the rate and the burst allow.
+func TestRateIsEnforced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		perSecond := rapid.IntRange(1, 50).Draw(t, "rate")
 		burst := rapid.IntRange(1, 20).Draw(t, "burst")
@@ -40,20 +39,20 @@
 		now, entered := clock.Milli(1000), 0
 		for range rapid.IntRange(1, 300).Draw(t, "arrivals") {
 			now += clock.Milli(rapid.IntRange(0, 100).Draw(t, "gap"))
-			if ver, _ := wsp.Enter(now); ver == Entered {
+			if ver, _ := wsp.Enter(now); ver == Admitted {
 				entered++
 			}
 		}
 		if most := burst + int((now-1000).Seconds()*float64(perSecond)) + 1; entered > most {
-			t.Fatalf("%d entered, at most %d may", entered, most)
+			t.Fatalf("%d requests admitted, the limit allows %d", entered, most)
 		}
 	})
 }
 
-// TestLimitFollowsTheEndpoint: an endpoint whose answers grow twice as slow has
-// a queue, and its limit falls; when it got a larger model and is slow for good,
-// the limit rises again.
-func TestLimitFollowsTheEndpoint(t *testing.T) {
+// TestLimitFollowsLatency: the limit falls when an endpoint's latency triples, since
+// that is a sign of a queue. It rises again when the latency stays, as after the load
+// of a larger model.
+func TestLimitFollowsLatency(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	var adp Adaptive
 	now := clock.Milli(1000)
@@ -76,7 +75,7 @@
 	var adp Adaptive
 	fmt.Println(adp.Limit())
 	adp.Overloaded(1000, 100)
-	adp.Overloaded(1010, 100) // the same bad moment
+	adp.Overloaded(1010, 100) // the same overload
 	fmt.Println(adp.Limit())
 	// Output:
 	// 4
--- a/pkg/limit/rates.go
+++ b/pkg/limit/rates.go
@@ -2,90 +2,92 @@
 
 import "amaranthvalve/pkg/clock"
 
-// leastRate is what an endpoint gets that names less, in requests a second: without any it
-// would never be heard to need less no longer.
-const leastRate = 0.25
+// minRate is the minimum rate in requests a second. An endpoint that declares less still
+// gets this much, for without requests there are no answers in which it could raise the rate.
+const minRate = 0.25
 
 const (
-	// newFor is how long an instance that begins to keep rates may send but newShare of them:
-	// whoever kept them before may not know of it yet, and both together must stay within one
-	// and a half times the rate.
-	newFor   = 5 * clock.Second
-	newShare = 0.5
+	// takeoverPeriod is the time for which a new coordinator may use only takeoverShare of the rates. The
+	// previous one may not know of the change yet, and the two together must stay within 1.5
+	// times the rate.
+	takeoverPeriod = 5 * clock.Second
+	takeoverShare  = 0.5
 )
 
-// KeptShare gives the part of endpoints' rates that the instance which keeps them may send. silent
-// is how many others would keep them if they weren't silent, term how long this instance has.
-// One that is silent may be keeping them still, for others; if two are, this instance rather is
-// cut off itself.
+// KeptShare returns the share of the endpoints' rates that their coordinator may use. silent is
+// the number of unresponsive instances that come before this one as coordinators, term the time
+// since this one took over. One unresponsive instance may still be coordinating for others; if
+// there are two, it is more likely that this instance is partitioned.
 func KeptShare(silent int, term clock.Milli) float64 {
 	switch {
 	case silent > 1:
 		return 0
-	case silent > 0 || term < newFor:
-		return newShare
+	case silent > 0 || term < takeoverPeriod:
+		return takeoverShare
 	}
 	return 1
 }
 
-// Rates spaces the requests to endpoints that name how many they take a second. One request may
-// come sooner than its turn, so that what nobody sent in time isn't lost (the generic cell rate
-// algorithm with a burst of two). The zero value limits nothing. It is not safe for concurrent
+// Rates paces the requests to endpoints that declare a maximum rate. It is the generic cell rate
+// algorithm with a burst of two: one request may be sent ahead of schedule, so that a slot that
+// was not used in time isn't lost. The zero value limits nothing. It is not safe for concurrent
 // use.
 type Rates struct {
-	byID map[string]*pace
+	byID map[string]*schedule
 }
 
-// pace is when an endpoint's next request has its turn, in milliseconds: at a hundred a second
-// whole ones would be a tenth wrong.
-type pace struct {
+// schedule paces one endpoint, in fractional milliseconds: at 100 requests a second, whole
+// milliseconds would be wrong by a tenth.
+type schedule struct {
+	// each is the interval between requests, next the scheduled time of the next one.
 	each float64
 	next float64
 }
 
-// Sync takes the rates of endpoints, by their names. Those that had one keep their turn.
+// Sync replaces the endpoints' rates, by endpoint ID. Endpoints that already had a rate keep
+// their schedules.
 func (rts *Rates) Sync(perSecond map[string]float64) {
-	byID := make(map[string]*pace, len(perSecond))
+	byID := make(map[string]*schedule, len(perSecond))
 	for id, rate := range perSecond {
-		pce, ok := rts.byID[id]
+		sch, ok := rts.byID[id]
 		if !ok {
-			pce = &pace{}
+			sch = &schedule{}
 		}
-		pce.each = float64(clock.Second) / max(rate, leastRate)
-		byID[id] = pce
+		sch.each = float64(clock.Second) / max(rate, minRate)
+		byID[id] = sch
 	}
 	rts.byID = byID
 }
 
-// Has tells whether an endpoint names a rate.
+// Has reports whether an endpoint declares a rate.
 func (rts *Rates) Has(id string) bool {
 	_, ok := rts.byID[id]
 	return ok
 }
 
-// Wait gives how long it is until an endpoint may be sent a request.
+// Wait returns the time until the next request to an endpoint is allowed.
 func (rts *Rates) Wait(id string, now clock.Milli) clock.Milli {
-	pce, ok := rts.byID[id]
-	if !ok || pce.next <= float64(now) {
+	sch, ok := rts.byID[id]
+	if !ok || sch.next <= float64(now) {
 		return 0
 	}
-	return clock.Milli(pce.next-float64(now)) + 1
+	return clock.Milli(sch.next-float64(now)) + 1
 }
 
-// Each gives the time between two requests to an endpoint; zero for any.
+// Each returns the interval between requests to an endpoint; zero if it has no rate.
 func (rts *Rates) Each(id string) clock.Milli {
-	if pce, ok := rts.byID[id]; ok {
-		return clock.Milli(pce.each) + 1
+	if sch, ok := rts.byID[id]; ok {
+		return clock.Milli(sch.each) + 1
 	}
 	return 0
 }
 
-// Take notes a request to an endpoint, by somebody who may send a share of what it takes.
+// Take records a request to an endpoint by a sender that may use the given share of its rate.
 func (rts *Rates) Take(id string, share float64, now clock.Milli) {
-	pce, ok := rts.byID[id]
+	sch, ok := rts.byID[id]
 	if !ok {
 		return
 	}
-	each := pce.each / share
-	pce.next = max(pce.next, float64(now)-each) + each
+	each := sch.each / share
+	sch.next = max(sch.next, float64(now)-each) + each
 }
--- a/pkg/limit/rates_test.go
+++ b/pkg/limit/rates_test.go
@@ -23,9 +23,9 @@
 	// 501 0
 }
 
-// Guards against an endpoint that gets more than it takes over some span, or stands idle, however
-// requests come and whatever share its keeper has.
-func TestRatesHold(t *testing.T) {
+// Guards against an endpoint that gets more requests in some period than its rate allows, for
+// any arrivals and either share.
+func TestRatesAreEnforced(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		gom := gomega.NewWithT(t)
 		rate := rapid.SampledFrom([]float64{0, 0.25, 0.7, 1, 3, 20, 150}).Draw(rt, "rate")
@@ -40,7 +40,7 @@
 				rts.Take("i-1", share, now)
 				sent = append(sent, now)
 			}
-			// The rate is heard again, as with each answer.
+			// The rate is set again, as with each answer.
 			rts.Sync(map[string]float64{"i-1": rate})
 		}
 		for i, first := range sent {
@@ -50,13 +50,13 @@
 					count++
 				}
 			}
-			gom.Expect(float64(count)).To(gomega.BeNumerically("<=", 4*share*max(rate, leastRate)+2))
+			gom.Expect(float64(count)).To(gomega.BeNumerically("<=", 4*share*max(rate, minRate)+2))
 		}
 	})
 }
 
-// Guards against an endpoint that stands idle though it names a rate.
-func TestARateIsUsed(t *testing.T) {
+// Guards against an endpoint that gets fewer requests than its declared rate.
+func TestRateIsUsedUp(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	for _, rate := range []float64{0, 1, 7, 150} {
 		var rts Rates
@@ -68,13 +68,13 @@
 				sent++
 			}
 		}
-		gom.Expect(float64(sent)).To(gomega.BeNumerically(">=", 0.99*60*max(rate, leastRate)))
+		gom.Expect(float64(sent)).To(gomega.BeNumerically(">=", 0.99*60*max(rate, minRate)))
 	}
 }
 
-// Guards against two keepers of one rate, of whom the first doesn't know yet that the second has
-// begun with a half of it, that together send more than one and a half times the rate allows.
-func TestTwoKeepersHold(t *testing.T) {
+// Guards against exceeding 1.5 times the rate during a change of coordinator: the old one still
+// uses the whole rate while the new one starts with half of it.
+func TestTwoCoordinatorsStayInBounds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		gom := gomega.NewWithT(t)
 		rate := rapid.SampledFrom([]float64{0.25, 1, 3, 20, 150}).Draw(rt, "rate")
--- a/pkg/limit/share.go
+++ b/pkg/limit/share.go
@@ -1,19 +1,19 @@
 package limit
 
-// shareFloor is the demand, in requests a second, that every instance is taken
-// to have for every workspace, so that a caller who moves to an idle instance
-// is not refused until its demand is known there.
-const shareFloor = 1.0
+// demandFloor is the minimum demand in requests a second that is assumed at every
+// instance for every workspace, so that a caller who moves to an idle instance is not
+// refused before its demand is known.
+const demandFloor = 1.0
 
-// Part gives an instance's part of a workspace's rate: in proportion to the
-// demand that the instances saw lately. Callers keep an address for a while, so
-// that a workspace with one busy caller has all its demand at one instance: an
-// equal part would refuse most of what its document allows. Demands that are a
-// second old make the parts add up to the rate only on average.
+// Part returns an instance's share of a workspace's rate, in proportion to the recent
+// demand at each instance. Callers keep using one address for a while, so a workspace
+// with a single busy caller has all its demand at one instance, and equal shares would
+// refuse most of the requests that its document allows. As demands are up to a second
+// old, the shares add up to the rate only on average.
 func Part(rate, own float64, others []float64) float64 {
-	all := own + shareFloor
+	all := own + demandFloor
 	for _, oth := range others {
-		all += oth + shareFloor
+		all += oth + demandFloor
 	}
-	return rate * (own + shareFloor) / all
+	return rate * (own + demandFloor) / all
 }
--- a/pkg/limit/keeper_test.go
+++ b/pkg/limit/size_test.go
@@ -16,29 +16,31 @@
 const (
 	window   = 4 * clock.Second
 	endpoint = "engine"
-	// silentFor is how long an instance that gave no answer is passed over.
-	silentFor = 2 * clock.Second
+	// unresponsiveFor is the time for which an instance that didn't answer is passed over.
+	unresponsiveFor = 2 * clock.Second
 )
 
-// sender is an instance that sends requests to one endpoint, within the rate that it names.
+// sender is an instance that sends requests to one endpoint within the declared rate.
 type sender struct {
 	*fleet.Instance
-	rates  limit.Rates
-	silent map[ident.Incarnation]clock.Milli
-	term   clock.Milli
-	keeps  bool
-	// told is when the endpoint named the rate to it, zero if it didn't.
-	told clock.Milli
+	rates        limit.Rates
+	unresponsive map[ident.Incarnation]clock.Milli
+	// term is the time at which the instance last became or ceased to be coordinator.
+	term        clock.Milli
+	coordinates bool
+	// learned is the time at which the sender first got the rate from the endpoint, zero if it
+	// didn't.
+	learned clock.Milli
 }
 
-// arrival is a request that came to the endpoint.
+// arrival is a request that reached the endpoint.
 type arrival struct {
 	at clock.Milli
-	// counts tells that its sender was told before and nothing was done to it.
+	// counts is set if the sender knew the rate and was neither cut off nor restarted.
 	counts bool
 }
 
-// senders is a fleet that sends requests to one endpoint.
+// senders is a fleet whose instances send requests to one endpoint.
 type senders struct {
 	*fleet.Fleet
 	rate     float64
@@ -51,21 +53,21 @@
 	sds := &senders{rate: rate, within: within, of: map[*fleet.Instance]*sender{}}
 	sds.Fleet = fleet.New(fleet.Setup{Count: count, Lost: 0.02, Seed: uint64(count), Begin: func(ins *fleet.Instance) {
 		ins.Spread().Bound(rumor.NamedRate, rumor.Bounds{Keep: clock.Hour, Most: 100})
-		sds.of[ins] = &sender{Instance: ins, silent: map[ident.Incarnation]clock.Milli{}}
+		sds.of[ins] = &sender{Instance: ins, unresponsive: map[ident.Incarnation]clock.Milli{}}
 	}})
 	return sds
 }
 
-// load lets a span pass, with a request each step.
-func (sds *senders) load(span clock.Milli) {
+// runLoaded runs the fleet for a time with one request in each step.
+func (sds *senders) runLoaded(span clock.Milli) {
 	sds.Run(span, func() { sds.ask(sds.of[sds.Any()]) })
 }
 
-// keeper gives who keeps the rate, as far as an instance knows, and how many silent ones it
-// passes over.
-func (sds *senders) keeper(sdr *sender) (who ident.Incarnation, silent int) {
+// coordinator returns the coordinator of the rate in the view of an instance, and how many
+// unresponsive ones were passed over.
+func (sds *senders) coordinator(sdr *sender) (who ident.Incarnation, silent int) {
 	for _, who := range sdr.List().Homes("pool") {
-		if who == sdr.Who() || sds.Now() >= sdr.silent[who] {
+		if who == sdr.Who() || sds.Now() >= sdr.unresponsive[who] {
 			return who, silent
 		}
 		silent++
@@ -73,14 +75,14 @@
 	return sdr.Who(), silent
 }
 
-// grants tells whether an instance that is asked lets a request through.
+// grants reports whether an instance that is asked for a permit allows a request.
 func (sds *senders) grants(sdr *sender) bool {
-	who, silent := sds.keeper(sdr)
-	if keeps := who == sdr.Who(); keeps != sdr.keeps {
-		sdr.keeps, sdr.term = keeps, sds.Now()
+	who, silent := sds.coordinator(sdr)
+	if coordinates := who == sdr.Who(); coordinates != sdr.coordinates {
+		sdr.coordinates, sdr.term = coordinates, sds.Now()
 	}
 	share := limit.KeptShare(silent, sds.Now()-sdr.term)
-	if !sdr.keeps || share == 0 {
+	if !sdr.coordinates || share == 0 {
 		return false
 	}
 	sdr.rates.Sync(map[string]float64{endpoint: sds.rate})
@@ -91,32 +93,33 @@
 	return true
 }
 
-// ask has an instance send a request, if it may. One that knows of no rate sends it.
+// ask sends a request from an instance if the rate allows it. An instance that doesn't know of a
+// rate sends without a permit.
 func (sds *senders) ask(sdr *sender) {
 	if _, _, knows := sdr.Spread().Get(rumor.NamedRate, endpoint); knows {
-		who, _ := sds.keeper(sdr)
+		who, _ := sds.coordinator(sdr)
 		oth := sds.Find(who)
 		if who != sdr.Who() && !sds.Reaches(sdr.Instance, oth) {
-			sdr.silent[who] = sds.Now() + silentFor
+			sdr.unresponsive[who] = sds.Now() + unresponsiveFor
 			return
 		}
 		if !sds.grants(sds.of[oth]) {
 			return
 		}
 	}
-	counts := sdr.told > 0 && sds.Now()-sdr.told >= 500 && sds.IsCalm(sdr.Instance, sds.within)
+	counts := sdr.learned > 0 && sds.Now()-sdr.learned >= 500 && sds.IsCalm(sdr.Instance, sds.within)
 	sds.arrivals = append(sds.arrivals, arrival{at: sds.Now(), counts: counts})
-	if sdr.told == 0 {
-		sdr.told = sds.Now()
+	if sdr.learned == 0 {
+		sdr.learned = sds.Now()
 	}
 	if fct, ok := sdr.Spread().Set(rumor.NamedRate, endpoint, fmt.Sprint(sds.rate), sds.Now()); ok {
 		sdr.Spread().Learned(fct)
 	}
 }
 
-// most gives the most requests that count within the window, from an instant on, and the longest
-// time without any request.
-func (sds *senders) most(from clock.Milli) (most int, idle clock.Milli) {
+// peak returns the maximum number of counted requests in any window since from, and the longest
+// time without a request.
+func (sds *senders) peak(from clock.Milli) (most int, idle clock.Milli) {
 	var at []clock.Milli
 	last := from
 	for _, arr := range sds.arrivals {
@@ -139,9 +142,9 @@
 	return most, idle
 }
 
-// Guards against a rate that isn't kept to, or whose endpoint stands idle, in systems of each
-// size: while the keeper is cut off, instances start anew, and after all have ended at once.
-func TestKeptAtSize(t *testing.T) {
+// Guards against exceeding a rate, or leaving its endpoint idle, at each system size: while the
+// coordinator is partitioned, during restarts of some instances, and after a restart of all.
+func TestRateAtSize(t *testing.T) {
 	for _, size := range []struct {
 		instances int
 		within    clock.Milli
@@ -153,27 +156,27 @@
 				sds := newSenders(size.instances, rate, size.within)
 				sds.Run(2*clock.Second, nil)
 				from := sds.Now() + size.within
-				sds.load(12 * clock.Second)
+				sds.runLoaded(12 * clock.Second)
 				for round := range 4 {
-					who, _ := sds.keeper(sds.of[sds.Instances()[round]])
-					keeper := sds.Find(who)
-					sds.Cut(keeper, true)
-					sds.load(4 * clock.Second)
-					sds.Cut(keeper, false)
-					sds.load(8 * clock.Second)
+					who, _ := sds.coordinator(sds.of[sds.Instances()[round]])
+					coordinator := sds.Find(who)
+					sds.Cut(coordinator, true)
+					sds.runLoaded(4 * clock.Second)
+					sds.Cut(coordinator, false)
+					sds.runLoaded(8 * clock.Second)
 					sds.Restart(func(i int) bool { return i%10 == round })
-					sds.load(10 * clock.Second)
+					sds.runLoaded(10 * clock.Second)
 				}
-				most, idle := sds.most(from)
-				t.Logf("most %d in 4 s, idle for %d ms", most, idle)
+				most, idle := sds.peak(from)
+				t.Logf("at most %d requests in 4 s, idle for up to %d ms", most, idle)
 				gom.Expect(float64(most)).To(gomega.BeNumerically("<=", 1.5*4*rate+5))
 				gom.Expect(idle).To(gomega.BeNumerically("<", 7*clock.Second))
 
 				sds.RestartAll()
 				from = sds.Now() + size.within
-				sds.load(20 * clock.Second)
-				most, idle = sds.most(from)
-				t.Logf("after a loss of all: most %d in 4 s, idle for %d ms", most, idle)
+				sds.runLoaded(20 * clock.Second)
+				most, idle = sds.peak(from)
+				t.Logf("after a restart of all: at most %d requests in 4 s, idle for up to %d ms", most, idle)
 				gom.Expect(float64(most)).To(gomega.BeNumerically("<=", 1.5*4*rate+5))
 				gom.Expect(idle).To(gomega.BeNumerically("<", 7*clock.Second))
 			})
