--- a/pkg/poison/doc.go
+++ b/pkg/poison/doc.go
@@ -1,25 +1,25 @@
-// Package poison finds the requests under which endpoints end.
+// Package poison detects requests that crash endpoints and quarantines them.
 //
-// A request may end each endpoint that begins to run it (a poison message, or query of death).
-// Its caller sends it again under a new name, to any instance, so that nothing but its target,
-// its caller and its body, its [Mark], shows that it is the same request.
+// A request may crash every endpoint that starts to run it (a poison message, or query of death).
+// Its caller retries it under a new request ID and at any instance, so that it can be recognised
+// only by its [Mark], a fingerprint of its target, caller and body.
 //
 // # Suspicion
 //
-// When an endpoint ends, all requests that it had are suspected: the [End] counts against each.
-// Ends are facts that all instances share (package rumor), so that they count wherever they
-// were seen. A request that an endpoint runs to its end is cleared of all ends that were known
-// by then.
+// When an endpoint crashes, all requests in flight there are suspected: the crash is recorded as
+// an [End] for each of them. Crashes are facts that are shared by gossip (package rumor), so that
+// they count whichever instance observed them. A request that an endpoint completes is cleared of
+// all crashes known by then.
 //
 // # Quarantine
 //
-// A request under which more endpoints have ended than chance lets expect is quarantined: every
-// instance refuses it. When its quarantine is over, one instance lets it in on trial, and counts
-// its end beforehand. Each end makes the next quarantine longer.
+// A request with more crashes than coincidence explains is quarantined: every instance refuses
+// it. After the quarantine one instance admits it for a trial and records a crash in advance.
+// Each crash lengthens the next quarantine.
 //
-// # What is no end
+// # What does not count
 //
-// A cut connection proves nothing of its endpoint. It counts only if the endpoint's address
-// refuses connections right afterwards, and not if the endpoint was leaving: one that can't be
-// reached is cut off or has lost power, whatever it was sent.
+// A broken connection alone is no evidence of a crash. It counts only if the endpoint's address
+// refuses connections right afterwards and the endpoint was not leaving. An address that doesn't
+// answer at all is partitioned or has lost power, whatever request it had.
 package poison
--- a/pkg/poison/list.go
+++ b/pkg/poison/list.go
@@ -15,53 +15,54 @@
 )
 
 const (
-	// endsAllowed is how many endpoints may end under a request before it is quarantined. Any
-	// request may be at an endpoint that ends for another reason, and be there once more when
-	// it is sent to the next one.
-	endsAllowed = 2
-	// firstQuarantine is how long after the last end a request is refused at first. Then it is
-	// let in once more: whatever it ended may have been mended. Each further end makes its
-	// quarantine longer times as long.
-	firstQuarantine = 10 * clock.Minute
-	longer          = 6
-	// remembered is how long an end counts, and how long a request is refused at the most. By then
-	// it has been let in three times more.
-	remembered = clock.Day
-	// mostEnds bounds the ends that are kept, some 200 B each.
-	mostEnds = 4096
+	// crashesAllowed is the number of crashes before a request is quarantined. Any request may be
+	// at an endpoint that crashes for another reason, and this may happen to it again when it is
+	// retried at the next one.
+	crashesAllowed = 2
+	// firstQuarantine is the first quarantine, counted from the last crash. Afterwards the request
+	// is admitted for a trial, since the endpoints may have been fixed. Each further crash
+	// multiplies the quarantine by quarantineFactor.
+	firstQuarantine  = 10 * clock.Minute
+	quarantineFactor = 6
+	// crashRetention is the retention of a crash and the maximum quarantine. A request gets three
+	// trials within it.
+	crashRetention = clock.Day
+	// maxCrashes bounds the number of stored crashes, some 200 B each.
+	maxCrashes = 4096
 )
 
-// Cleared is the value of an end that counts no longer. Any other value is the address of the
-// instance that told of it.
+// Cleared is the value of a crash fact that no longer counts. Any other value is the address of
+// the instance that observed the crash.
 const Cleared = ""
 
-// End is the end of an endpoint while a request was there.
+// End is a crash of an endpoint while a request was in flight there.
 type End struct {
 	Endpoint ident.Process
-	// By is the address of the instance that saw it.
+	// By is the address of the instance that observed the crash.
 	By string
 	At clock.Milli
 }
 
-// List tells under which requests endpoints have ended. It is never changed; nil is empty.
+// List is an immutable index of crashes by request. A nil list is empty.
 type List struct {
 	byMark map[Mark][]End
 }
 
-// Bounds gives the bounds of the facts on ends. Those of requests under which more endpoints
-// have ended stay longer: a caller who sends many different requests beside one that ends
-// endpoints would otherwise have its own ends forgotten.
+// Bounds returns the bounds of crash facts. Facts on requests with more crashes are evicted last:
+// otherwise the caller of a poison request could have its crashes evicted by sending many other
+// requests that are present at crashes.
 func Bounds(list func() *List) rumor.Bounds {
-	return rumor.Bounds{Keep: remembered, Most: mostEnds, Weight: func(key string) int {
-		mrk, _, _ := split(key)
+	return rumor.Bounds{Keep: crashRetention, Most: maxCrashes, Weight: func(key string) int {
+		mrk, _, _ := parseKey(key)
 		return len(list().Ends(mrk))
 	}}
 }
 
-// Key names the end of an endpoint under a request among the facts.
+// Key returns the fact key of the crash of an endpoint with a request in flight.
 func Key(mrk Mark, endpoint ident.Process) string { return mrk.String() + "/" + string(endpoint) }
 
-func split(key string) (mrk Mark, endpoint ident.Process, ok bool) {
+// parseKey parses a key made by [Key].
+func parseKey(key string) (mrk Mark, endpoint ident.Process, ok bool) {
 	name, rest, ok := strings.Cut(key, "/")
 	raw, err := hex.DecodeString(name)
 	if !ok || err != nil || len(raw) != markBytes {
@@ -70,11 +71,11 @@
 	return Mark(raw), ident.Process(rest), true
 }
 
-// Read makes a list of facts on ends.
+// Read builds a list from crash facts. Malformed keys and cleared crashes are skipped.
 func Read(facts []rumor.Fact, now clock.Milli) *List {
 	lst := &List{byMark: map[Mark][]End{}}
 	for _, fct := range facts {
-		if mrk, endpoint, ok := split(fct.Key); ok && fct.Value != Cleared {
+		if mrk, endpoint, ok := parseKey(fct.Key); ok && fct.Value != Cleared {
 			lst.byMark[mrk] = append(lst.byMark[mrk], End{Endpoint: endpoint, By: fct.Value, At: now - fct.Age})
 		}
 	}
@@ -86,10 +87,10 @@
 	return lst
 }
 
-// Empty tells that no request is suspected.
+// Empty reports whether no request is suspected.
 func (lst *List) Empty() bool { return lst == nil || len(lst.byMark) == 0 }
 
-// Ends gives the ends under a request, the first one first.
+// Ends returns the crashes of a request, the oldest first.
 func (lst *List) Ends(mrk Mark) []End {
 	if lst == nil {
 		return nil
@@ -97,25 +98,25 @@
 	return lst.byMark[mrk]
 }
 
-// Quarantined gives for how much longer a request is refused; zero if it isn't.
+// Quarantined returns the rest of a request's quarantine; zero if it is not quarantined.
 func (lst *List) Quarantined(mrk Mark, now clock.Milli) clock.Milli {
 	if !lst.OnTrial(mrk) {
 		return 0
 	}
 	ends := lst.Ends(mrk)
 	span := firstQuarantine
-	for range len(ends) - endsAllowed - 1 {
-		span = min(longer*span, remembered)
+	for range len(ends) - crashesAllowed - 1 {
+		span = min(quarantineFactor*span, crashRetention)
 	}
 	return max(ends[len(ends)-1].At+span-now, 0)
 }
 
-// OnTrial tells whether so many endpoints have ended under a request that it is let in once at a
-// time, and only when its quarantine is over.
-func (lst *List) OnTrial(mrk Mark) bool { return len(lst.Ends(mrk)) > endsAllowed }
+// OnTrial reports whether a request has so many crashes that it is admitted only after its
+// quarantine, and one attempt at a time.
+func (lst *List) OnTrial(mrk Mark) bool { return len(lst.Ends(mrk)) > crashesAllowed }
 
-// Quarantining gives those of the facts by which requests are refused, or will be once they are
-// tried again: the last ones of each, of so many requests at most.
+// Quarantining returns the facts that quarantine requests, or will do so after the next trial: the
+// last each facts of a request, for at most marks requests.
 func Quarantining(facts []rumor.Fact, lst *List, marks, each int) []rumor.Fact {
 	var list []rumor.Fact
 	wanted := map[string]bool{}
@@ -136,7 +137,7 @@
 	return list
 }
 
-// all gives the ends under each request, in the order of the marks.
+// all iterates over the crashes of each request, in the order of the fingerprints.
 func (lst *List) all() iter.Seq2[Mark, []End] {
 	return func(yield func(Mark, []End) bool) {
 		if lst == nil {
@@ -150,7 +151,7 @@
 	}
 }
 
-// Newly gives the requests that are quarantined now and weren't by an earlier list.
+// Newly returns the requests that are quarantined now but not according to an earlier list.
 func (lst *List) Newly(before *List, now clock.Milli) []Mark {
 	var marks []Mark
 	for mrk := range lst.all() {
@@ -161,8 +162,8 @@
 	return marks
 }
 
-// Clear takes the ends under a request back in a table of facts, and gives what is to be passed
-// on: a request that an endpoint has run to its end is not what ended others.
+// Clear marks the crashes of a request as cleared in a table and returns the changed facts, which
+// the caller passes on. A request that an endpoint has completed is not the cause of crashes.
 func Clear(tbl *rumor.Table, lst *List, mrk Mark, now clock.Milli) []rumor.Fact {
 	var fresh []rumor.Fact
 	for _, end := range lst.Ends(mrk) {
--- a/pkg/poison/list_test.go
+++ b/pkg/poison/list_test.go
@@ -13,40 +13,42 @@
 	"amaranthvalve/pkg/rumor"
 )
 
-// suspects is an instance's table with the list that follows from it.
-type suspects struct {
+// observer is the fact table of an instance with the list built from it.
+type observer struct {
 	tbl rumor.Table
 	lst *List
 }
 
-func newSuspects() *suspects {
-	sus := &suspects{}
-	sus.tbl.Bound(rumor.EndedUnder, Bounds(func() *List { return sus.lst }))
-	return sus
+func newObserver() *observer {
+	obs := &observer{}
+	obs.tbl.Bound(rumor.EndedUnder, Bounds(func() *List { return obs.lst }))
+	return obs
 }
 
-func (sus *suspects) read(now clock.Milli) { sus.lst = Read(sus.tbl.All(rumor.EndedUnder, now), now) }
+func (obs *observer) refresh(now clock.Milli) {
+	obs.lst = Read(obs.tbl.All(rumor.EndedUnder, now), now)
+}
 
-func (sus *suspects) end(mrk Mark, endpoint string, now clock.Milli) {
-	sus.tbl.Set(rumor.EndedUnder, Key(mrk, ident.Process(endpoint)), "10.0.0.1:7300", now)
-	sus.read(now)
+func (obs *observer) crash(mrk Mark, endpoint string, now clock.Milli) {
+	obs.tbl.Set(rumor.EndedUnder, Key(mrk, ident.Process(endpoint)), "10.0.0.1:7300", now)
+	obs.refresh(now)
 }
 
-func (sus *suspects) clear(mrk Mark, now clock.Milli) {
-	Clear(&sus.tbl, sus.lst, mrk, now)
-	sus.read(now)
+func (obs *observer) clear(mrk Mark, now clock.Milli) {
+	Clear(&obs.tbl, obs.lst, mrk, now)
+	obs.refresh(now)
 }
 
 var (
-	deadly = MarkOf("desk.example", "/plan", "corella", []byte("deadly"))
-	other  = MarkOf("desk.example", "/plan", "corella", []byte("other"))
+	poisonous = MarkOf("desk.example", "/plan", "corella", []byte("deadly"))
+	harmless  = MarkOf("desk.example", "/plan", "corella", []byte("other"))
 )
 
 func ExampleList_Quarantined() {
-	sus := newSuspects()
+	obs := newObserver()
 	for i := range 3 {
-		sus.end(deadly, fmt.Sprintf("i-%d", i), clock.Milli(i)*clock.Second)
-		fmt.Println(len(sus.lst.Ends(deadly)), sus.lst.Quarantined(deadly, clock.Milli(i)*clock.Second) > 0, sus.lst.Quarantined(other, 0) > 0)
+		obs.crash(poisonous, fmt.Sprintf("i-%d", i), clock.Milli(i)*clock.Second)
+		fmt.Println(len(obs.lst.Ends(poisonous)), obs.lst.Quarantined(poisonous, clock.Milli(i)*clock.Second) > 0, obs.lst.Quarantined(harmless, 0) > 0)
 	}
 	// Output:
 	// 1 false false
@@ -54,8 +56,8 @@
 	// 3 true false
 }
 
-// Guards against facts that another instance can't read.
-func TestKeysPassOverTheLink(t *testing.T) {
+// Guards against fact keys that another instance can't decode.
+func TestKeysSurviveEncoding(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		gom := gomega.NewWithT(t)
 		mrk := MarkOf("", "", "", rapid.SliceOf(rapid.Byte()).Draw(rt, "body"))
@@ -64,106 +66,107 @@
 		gom.Expect(err).NotTo(gomega.HaveOccurred())
 		var fct rumor.Fact
 		gom.Expect(cbor.Unmarshal(body, &fct)).To(gomega.Succeed())
-		back, whose, ok := split(fct.Key)
+		gotMark, gotEndpoint, ok := parseKey(fct.Key)
 		gom.Expect(ok).To(gomega.BeTrue())
-		gom.Expect(back).To(gomega.Equal(mrk))
-		gom.Expect(whose).To(gomega.Equal(endpoint))
+		gom.Expect(gotMark).To(gomega.Equal(mrk))
+		gom.Expect(gotEndpoint).To(gomega.Equal(endpoint))
 	})
 }
 
-// Guards against counting one end twice: several instances see it.
-func TestOneEndCountsOnce(t *testing.T) {
+// Guards against counting one crash twice when several instances observe it.
+func TestOneCrashCountsOnce(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	sus := newSuspects()
+	obs := newObserver()
 	for range 5 {
-		sus.end(deadly, "i-1", 0)
+		obs.crash(poisonous, "i-1", 0)
 	}
-	gom.Expect(sus.lst.Ends(deadly)).To(gomega.HaveLen(1))
+	gom.Expect(obs.lst.Ends(poisonous)).To(gomega.HaveLen(1))
 }
 
-// Guards against a request that is refused for ends which it had nothing to do with.
-func TestARequestThatRanIsCleared(t *testing.T) {
+// Guards against refusing a request for crashes that it didn't cause.
+func TestCompletedRequestIsCleared(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	sus, far := newSuspects(), newSuspects()
+	obs, far := newObserver(), newObserver()
 	for i := range 4 {
-		sus.end(other, fmt.Sprintf("i-%d", i), 0)
+		obs.crash(harmless, fmt.Sprintf("i-%d", i), 0)
 		if i%2 == 1 {
-			sus.clear(other, 0)
+			obs.clear(harmless, 0)
 		}
 	}
-	gom.Expect(sus.lst.Ends(other)).To(gomega.BeEmpty())
-	// An instance that has heard of the ends alone hears of their clearing too.
-	far.end(other, "i-0", 0)
-	far.tbl.Learn(sus.tbl.Some(100, 1), 1)
-	far.read(1)
+	gom.Expect(obs.lst.Ends(harmless)).To(gomega.BeEmpty())
+	// An instance that knows only of a crash learns that it was cleared.
+	far.crash(harmless, "i-0", 0)
+	far.tbl.Learn(obs.tbl.Some(100, 1), 1)
+	far.refresh(1)
 	gom.Expect(far.lst.Empty()).To(gomega.BeTrue())
 }
 
-// Guards against a request that stays refused for ever, and against one that may end more than
-// three endpoints, one each time that its quarantine is over.
-func TestQuarantineEndsAndComesBackLonger(t *testing.T) {
+// Guards against refusing a request for ever, and against one that gets more than three trials
+// within the retention of crashes.
+func TestQuarantineExpiresAndGrows(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	sus := newSuspects()
-	for i := range endsAllowed {
-		sus.end(deadly, fmt.Sprintf("i-%d", i), 0)
+	obs := newObserver()
+	for i := range crashesAllowed {
+		obs.crash(poisonous, fmt.Sprintf("i-%d", i), 0)
 	}
-	now, again := clock.Milli(0), -1
-	for now < remembered {
-		sus.end(deadly, fmt.Sprintf("again-%d", again), now)
-		again++
-		span := sus.lst.Quarantined(deadly, now)
-		gom.Expect(sus.lst.Quarantined(deadly, now+span-1)).To(gomega.Equal(clock.Milli(1)))
-		gom.Expect(sus.lst.Quarantined(deadly, now+span)).To(gomega.BeZero())
-		gom.Expect(sus.lst.OnTrial(deadly)).To(gomega.BeTrue())
+	now, trials := clock.Milli(0), -1
+	for now < crashRetention {
+		obs.crash(poisonous, fmt.Sprintf("again-%d", trials), now)
+		trials++
+		span := obs.lst.Quarantined(poisonous, now)
+		gom.Expect(obs.lst.Quarantined(poisonous, now+span-1)).To(gomega.Equal(clock.Milli(1)))
+		gom.Expect(obs.lst.Quarantined(poisonous, now+span)).To(gomega.BeZero())
+		gom.Expect(obs.lst.OnTrial(poisonous)).To(gomega.BeTrue())
 		now += span
 	}
-	gom.Expect(again).To(gomega.Equal(3))
-	gom.Expect(sus.tbl.Expire(now + remembered)).To(gomega.BeTrue())
-	sus.read(now + remembered)
-	gom.Expect(sus.lst.Empty()).To(gomega.BeTrue())
+	gom.Expect(trials).To(gomega.Equal(3))
+	gom.Expect(obs.tbl.Expire(now + crashRetention)).To(gomega.BeTrue())
+	obs.refresh(now + crashRetention)
+	gom.Expect(obs.lst.Empty()).To(gomega.BeTrue())
 }
 
-// Guards against a caller that has its own ends forgotten by sending many other requests beside.
-func TestEndsThatMatterStay(t *testing.T) {
+// Guards against a caller that has the crashes of its poison request evicted by sending many
+// other requests.
+func TestFloodDoesNotEvictCrashes(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	sus := newSuspects()
+	obs := newObserver()
 	for i := range 3 {
-		sus.end(deadly, fmt.Sprintf("i-%d", i), 0)
+		obs.crash(poisonous, fmt.Sprintf("i-%d", i), 0)
 	}
-	for i := range mostEnds + 100 {
-		sus.tbl.Set(rumor.EndedUnder, Key(MarkOf("h", fmt.Sprint(i), "", nil), "i-9"), "x", 1)
+	for i := range maxCrashes + 100 {
+		obs.tbl.Set(rumor.EndedUnder, Key(MarkOf("h", fmt.Sprint(i), "", nil), "i-9"), "x", 1)
 	}
-	sus.read(1)
-	gom.Expect(sus.tbl.Len()).To(gomega.Equal(mostEnds))
-	gom.Expect(sus.lst.Quarantined(deadly, 1)).To(gomega.BeNumerically(">", 0))
+	obs.refresh(1)
+	gom.Expect(obs.tbl.Len()).To(gomega.Equal(maxCrashes))
+	gom.Expect(obs.lst.Quarantined(poisonous, 1)).To(gomega.BeNumerically(">", 0))
 }
 
-// Guards against a request that is quarantined although it never was at three endpoints that
-// ended, or that ran since, whatever came in which order.
-func TestOnlyThreeEndsQuarantine(t *testing.T) {
+// Guards against quarantining a request without three crashes since its last completion, for any
+// order of crashes and completions.
+func TestOnlyThreeCrashesQuarantine(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		gom := gomega.NewWithT(t)
-		sus, stands := newSuspects(), map[string]bool{}
+		obs, counted := newObserver(), map[string]bool{}
 		for range rapid.IntRange(0, 12).Draw(rt, "steps") {
 			if rapid.IntRange(0, 3).Draw(rt, "what") == 0 {
-				sus.clear(deadly, 0)
-				for endpoint := range stands {
-					stands[endpoint] = false
+				obs.clear(poisonous, 0)
+				for endpoint := range counted {
+					counted[endpoint] = false
 				}
 				continue
 			}
 			endpoint := fmt.Sprint(rapid.IntRange(0, 6).Draw(rt, "endpoint"))
-			if _, ended := stands[endpoint]; !ended {
-				stands[endpoint] = true
-				sus.end(deadly, endpoint, 0)
+			if _, crashed := counted[endpoint]; !crashed {
+				counted[endpoint] = true
+				obs.crash(poisonous, endpoint, 0)
 			}
 		}
 		count := 0
-		for _, stands := range stands {
-			if stands {
+		for _, counted := range counted {
+			if counted {
 				count++
 			}
 		}
-		gom.Expect(sus.lst.Quarantined(deadly, 0) > 0).To(gomega.Equal(count >= 3))
+		gom.Expect(obs.lst.Quarantined(poisonous, 0) > 0).To(gomega.Equal(count >= 3))
 	})
 }
--- a/pkg/poison/mark.go
+++ b/pkg/poison/mark.go
@@ -7,18 +7,19 @@
 	"strings"
 )
 
-// markBytes is too long for a caller to find a second request with the mark of another one.
+// markBytes is the length of a fingerprint. 128 bits keep a caller from constructing a second
+// request with the fingerprint of another one.
 const markBytes = 16
 
-// Mark names a request by its host, target, caller and body, whichever attempt of its caller's
-// it is.
+// Mark is the fingerprint of a request: a hash of its host, target, caller and body. All attempts
+// of a request have the same one.
 type Mark [markBytes]byte
 
-// MarkOf gives the mark of a request. The caller is its workspace, empty on open routes.
+// MarkOf returns the fingerprint of a request. caller is the workspace, empty on open routes.
 func MarkOf(host, target, caller string, body []byte) Mark {
 	sum := sha256.New()
 	for _, text := range []string{strings.ToLower(host), target, caller} {
-		// With its length before it no part can be taken for the beginning of the next one.
+		// The length prefix keeps adjacent parts from being confused.
 		_, _ = sum.Write(binary.BigEndian.AppendUint32(nil, uint32(len(text))))
 		_, _ = sum.Write([]byte(text))
 	}
@@ -26,5 +27,5 @@
 	return Mark(sum.Sum(nil)[:markBytes])
 }
 
-// String gives the mark in hexadecimal digits.
+// String returns the fingerprint in hexadecimal.
 func (mrk Mark) String() string { return hex.EncodeToString(mrk[:]) }
--- a/pkg/poison/mark_test.go
+++ b/pkg/poison/mark_test.go
@@ -16,7 +16,7 @@
 	// Output: true false 32
 }
 
-// Guards against requests of different callers, targets or bodies that share a mark.
+// Guards against requests of different callers, targets or bodies that share a fingerprint.
 func TestMarksDiffer(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		gom := gomega.NewWithT(t)
--- a/pkg/poison/size_test.go
+++ b/pkg/poison/size_test.go
@@ -14,126 +14,127 @@
 )
 
 const (
-	// every is how often the deadly request comes, endsAfter how long after it was sent its
-	// endpoint ends.
-	every     = 100 * clock.Milli(1)
-	endsAfter = 300 * clock.Milli(1)
-	// writeEvery is the time between two writes to the store.
-	writeEvery = clock.Second
-	// allowedMore is how often the request may be sent once all could know of three ends.
-	allowedMore = 3
+	// arrivalInterval is the time between arrivals of the poison request, crashDelay the time from
+	// an attempt to the crash of its endpoint.
+	arrivalInterval = 100 * clock.Milli(1)
+	crashDelay      = 300 * clock.Milli(1)
+	// writeInterval is the time between writes to the store.
+	writeInterval = clock.Second
+	// maxLateAttempts is how often the request may be sent once all instances should know of three
+	// crashes.
+	maxLateAttempts = 3
 )
 
-// suspect is an instance with the list that follows from its facts.
-type suspect struct {
+// observer is an instance with the list built from its facts.
+type observer struct {
 	*fleet.Instance
 	lst    *poison.List
 	digest uint64
 }
 
-// sending is a request that was sent to an endpoint.
-type sending struct {
+// attempt is one attempt of the request, at an endpoint of its own.
+type attempt struct {
 	at clock.Milli
-	// by has ended, or sees the end.
-	by *suspect
-	// calm tells that nothing was done to its sender.
-	calm  bool
-	ended bool
+	// by is the sender, which observes the crash if it still runs.
+	by *observer
+	// calm is set if the sender was neither cut off nor restarted.
+	calm    bool
+	crashed bool
 }
 
-// carriers is a fleet to which one deadly request comes again and again, with the store beside it.
-type carriers struct {
+// cluster is a fleet, with its store, that receives one poison request repeatedly.
+type cluster struct {
 	*fleet.Fleet
-	within clock.Milli
-	mark   poison.Mark
-	of     map[*fleet.Instance]*suspect
-	sent   []*sending
-	thirds clock.Milli
-	kept   []rumor.Fact
-	wrote  clock.Milli
+	within     clock.Milli
+	mark       poison.Mark
+	observers  map[*fleet.Instance]*observer
+	sent       []*attempt
+	thirdCrash clock.Milli
+	stored     []rumor.Fact
+	storedAt   clock.Milli
 }
 
-func newCarriers(count int, within clock.Milli) *carriers {
-	crr := &carriers{within: within, mark: poison.MarkOf("desk.example", "/plan", "corella", []byte("deadly")), of: map[*fleet.Instance]*suspect{}}
-	crr.Fleet = fleet.New(fleet.Setup{Count: count, Lost: 0.05, Seed: uint64(count), Begin: crr.begin})
-	return crr
+func newCluster(count int, within clock.Milli) *cluster {
+	cls := &cluster{within: within, mark: poison.MarkOf("desk.example", "/plan", "corella", []byte("deadly")), observers: map[*fleet.Instance]*observer{}}
+	cls.Fleet = fleet.New(fleet.Setup{Count: count, Lost: 0.05, Seed: uint64(count), Begin: cls.begin})
+	return cls
 }
 
-// begin has an instance that starts read what lies in the store.
-func (crr *carriers) begin(ins *fleet.Instance) {
-	spt := &suspect{Instance: ins}
-	crr.of[ins] = spt
-	ins.Spread().Bound(rumor.EndedUnder, poison.Bounds(func() *poison.List { return spt.lst }))
-	if crr.Fleet == nil {
+// begin loads the stored facts into an instance that starts.
+func (cls *cluster) begin(ins *fleet.Instance) {
+	obs := &observer{Instance: ins}
+	cls.observers[ins] = obs
+	ins.Spread().Bound(rumor.EndedUnder, poison.Bounds(func() *poison.List { return obs.lst }))
+	if cls.Fleet == nil {
 		return
 	}
-	kept := append([]rumor.Fact(nil), crr.kept...)
-	for i := range kept {
-		kept[i].Age += crr.Now() - crr.wrote
+	facts := append([]rumor.Fact(nil), cls.stored...)
+	for i := range facts {
+		facts[i].Age += cls.Now() - cls.storedAt
 	}
-	ins.Spread().Told(kept, true, crr.Now())
+	ins.Spread().Told(facts, true, cls.Now())
 }
 
-// list gives what an instance makes of its facts.
-func (crr *carriers) list(spt *suspect) *poison.List {
-	if digest := spt.Spread().Digest(); digest != spt.digest {
-		spt.lst, spt.digest = poison.Read(spt.Spread().All(rumor.EndedUnder, crr.Now()), crr.Now()), digest
+// list returns the list of an instance and rebuilds it if its facts have changed.
+func (cls *cluster) list(obs *observer) *poison.List {
+	if digest := obs.Spread().Digest(); digest != obs.digest {
+		obs.lst, obs.digest = poison.Read(obs.Spread().All(rumor.EndedUnder, cls.Now()), cls.Now()), digest
 	}
-	return spt.lst
+	return obs.lst
 }
 
-// step has the request come, endpoints end, and a reader write to the store.
-func (crr *carriers) step() {
-	if crr.Now()%every == 0 {
-		if spt := crr.of[crr.Any()]; !crr.list(spt).OnTrial(crr.mark) {
-			crr.sent = append(crr.sent, &sending{at: crr.Now(), by: spt, calm: crr.IsCalm(spt.Instance, crr.within)})
+// step sends the request, crashes endpoints that are due, and writes to the store.
+func (cls *cluster) step() {
+	if cls.Now()%arrivalInterval == 0 {
+		if obs := cls.observers[cls.Any()]; !cls.list(obs).OnTrial(cls.mark) {
+			cls.sent = append(cls.sent, &attempt{at: cls.Now(), by: obs, calm: cls.IsCalm(obs.Instance, cls.within)})
 		}
 	}
-	for i, snd := range crr.sent {
-		if !snd.ended && crr.Now() >= snd.at+endsAfter {
-			crr.end(i, snd)
+	for i, att := range cls.sent {
+		if !att.crashed && cls.Now() >= att.at+crashDelay {
+			cls.crash(i, att)
 		}
 	}
-	if crr.Now() < crr.wrote+writeEvery {
+	if cls.Now() < cls.storedAt+writeInterval {
 		return
 	}
-	for _, ins := range crr.Instances() {
-		if crr.IsCalm(ins, 0) {
-			facts := ins.Spread().All(rumor.EndedUnder, crr.Now())
-			crr.kept, crr.wrote = poison.Quarantining(facts, crr.list(crr.of[ins]), 64, 6), crr.Now()
+	for _, ins := range cls.Instances() {
+		if cls.IsCalm(ins, 0) {
+			facts := ins.Spread().All(rumor.EndedUnder, cls.Now())
+			cls.stored, cls.storedAt = poison.Quarantining(facts, cls.list(cls.observers[ins]), 64, 6), cls.Now()
 			return
 		}
 	}
 }
 
-// end ends an endpoint; its sender sees it if it runs still.
-func (crr *carriers) end(i int, snd *sending) {
-	snd.ended = true
+// crash crashes an endpoint; the sender records it if it still runs.
+func (cls *cluster) crash(i int, att *attempt) {
+	att.crashed = true
 	if i == 2 {
-		crr.thirds = crr.Now()
+		cls.thirdCrash = cls.Now()
 	}
-	if crr.Find(snd.by.Who()) == nil {
+	if cls.Find(att.by.Who()) == nil {
 		return
 	}
-	key := poison.Key(crr.mark, ident.Process(fmt.Sprintf("i-%d", i)))
-	if fct, ok := snd.by.Spread().Set(rumor.EndedUnder, key, snd.by.Who().Addr(), crr.Now()); ok {
-		snd.by.Spread().Learned(fct)
+	key := poison.Key(cls.mark, ident.Process(fmt.Sprintf("i-%d", i)))
+	if fct, ok := att.by.Spread().Set(rumor.EndedUnder, key, att.by.Who().Addr(), cls.Now()); ok {
+		att.by.Spread().Learned(fct)
 	}
 }
 
-// more counts the sendings by calm instances once all could know of three ends.
-func (crr *carriers) more() int {
+// lateAttempts counts the attempts by calm instances after all should know of three crashes.
+func (cls *cluster) lateAttempts() int {
 	count := 0
-	for _, snd := range crr.sent {
-		if crr.thirds > 0 && snd.at > crr.thirds+crr.within && snd.calm {
+	for _, att := range cls.sent {
+		if cls.thirdCrash > 0 && att.at > cls.thirdCrash+cls.within && att.calm {
 			count++
 		}
 	}
 	return count
 }
 
-// Guards against a deadly request that goes on reaching endpoints in systems of each size: while
-// instances are cut off, start anew, or all end at once.
+// Guards against a poison request that keeps reaching endpoints, at each system size: during a
+// partition, restarts of some instances, and a restart of all.
 func TestQuarantinedAtSize(t *testing.T) {
 	for _, size := range []struct {
 		instances int
@@ -142,25 +143,25 @@
 		t.Run(fmt.Sprint(size.instances), func(t *testing.T) {
 			t.Parallel()
 			gom := gomega.NewWithT(t)
-			crr := newCarriers(size.instances, size.within)
-			crr.Run(2*clock.Second, nil)
-			for i, ins := range crr.Instances() {
-				crr.Cut(ins, i%5 == 4)
+			cls := newCluster(size.instances, size.within)
+			cls.Run(2*clock.Second, nil)
+			for i, ins := range cls.Instances() {
+				cls.Cut(ins, i%5 == 4)
 			}
-			crr.Run(4*clock.Second, crr.step)
-			for _, ins := range crr.Instances() {
-				crr.Cut(ins, false)
+			cls.Run(4*clock.Second, cls.step)
+			for _, ins := range cls.Instances() {
+				cls.Cut(ins, false)
 			}
-			crr.Run(8*clock.Second, crr.step)
+			cls.Run(8*clock.Second, cls.step)
 			for round := range 3 {
-				crr.Restart(func(i int) bool { return i%10 == round })
-				crr.Run(6*clock.Second, crr.step)
+				cls.Restart(func(i int) bool { return i%10 == round })
+				cls.Run(6*clock.Second, cls.step)
 			}
-			crr.RestartAll()
-			crr.Run(12*clock.Second, crr.step)
-			t.Logf("%d sendings, %d that count", len(crr.sent), crr.more())
-			gom.Expect(len(crr.sent)).To(gomega.BeNumerically(">=", 3))
-			gom.Expect(crr.more()).To(gomega.BeNumerically("<=", allowedMore))
+			cls.RestartAll()
+			cls.Run(12*clock.Second, cls.step)
+			t.Logf("%d attempts, %d of them counted", len(cls.sent), cls.lateAttempts())
+			gom.Expect(len(cls.sent)).To(gomega.BeNumerically(">=", 3))
+			gom.Expect(cls.lateAttempts()).To(gomega.BeNumerically("<=", maxLateAttempts))
 		})
 	}
 }
