--- a/pkg/poison/list_test.go
+++ b/pkg/poison/list_test.go
@@ -96,7 +96,7 @@
 	gom.Expect(obs.lst.Ends(harmless)).To(gomega.BeEmpty())
 	// An instance that knows only of a crash learns that it was cleared.
 	far.crash(harmless, "i-0", 0)
-	far.tbl.Learn(obs.tbl.Some(100, 1), 1)
+	far.tbl.Learn(obs.tbl.Sample(100, 1), 1)
 	far.refresh(1)
 	gom.Expect(far.lst.Empty()).To(gomega.BeTrue())
 }
--- a/pkg/retry/retry.go
+++ b/pkg/retry/retry.go
@@ -1,14 +1,13 @@
-// Package retry bounds the work that is done again.
+// Package retry implements retry budgets, retry rules and backoff.
 //
-// Retries multiply: a stage that fails half its requests is sent half as many
-// again by each instance, by each caller's library and by each stage above. A
-// [Budget] keeps the retries of one pool to a share of its first attempts,
-// whatever fails: each first attempt pays in a part, each retry takes out a
-// whole. When the budget is empty the failure is passed on at once, with a span
-// after which to come back.
+// Retries amplify load: if a stage fails half of its requests, each instance, each
+// client library and each stage above it adds half as many requests again. A [Budget]
+// limits the retries of a pool to a share of its first attempts, whatever the failures:
+// each first attempt deposits a fraction, each retry withdraws one. When the budget is
+// empty the failure is returned at once, with a retry-after delay.
 //
-// Whether a piece of work may be done again at all is decided by [Allowed]: only
-// when nothing ran, or when running it again has no effect.
+// [Allowed] decides whether work may be retried at all: only if nothing ran or the
+// operation is idempotent.
 package retry
 
 import (
@@ -19,10 +18,10 @@
 
 //go:generate go tool stringer -type=Cause -linecomment -output=cause_string.go
 
-// Cause tells why work was done again; each has a counter.
+// Cause is the reason for a retry; each has a counter.
 type Cause int
 
-// The causes.
+// Causes of retries.
 const (
 	NothingSent  Cause = iota // nothing_sent
 	Refused                   // refused
@@ -34,36 +33,36 @@
 	InputLost                 // input_lost
 )
 
-// Causes lists all causes, for the counters.
+// Causes returns all causes, for the counters.
 func Causes() []Cause {
 	return []Cause{NothingSent, Refused, Cut, WrongAnswer, Resumed, Hedged, ReadConflict, InputLost}
 }
 
-// Shares of a budget.
+// Defaults of a budget.
 const (
-	// Share is how many retries a first attempt pays for.
-	Share = 0.1
-	// reserve is how many retries a budget holds when it has been idle, so
-	// that a pool with little load can retry at all.
-	reserve = 10.0
+	// DefaultShare is the number of retries that a first attempt adds to the budget.
+	DefaultShare = 0.1
+	// defaultReserve is the capacity in retries, so that a pool under low load can retry
+	// at all.
+	defaultReserve = 10.0
 )
 
-// Bounds are the bounds of one stage of one request.
+// Bounds limit the retries of one stage of one request.
 type Bounds struct {
 	attempts int
 	idle     bool
 }
 
-// Attempts gives how many attempts there may be in all.
+// Attempts returns the maximum number of attempts, including the first.
 func (bnd Bounds) Attempts() int { return bnd.attempts }
 
-// Idle tells whether a retry beyond the budget is allowed at a pool that has
-// room to spare.
+// Idle reports whether retries beyond the budget are allowed at a pool with spare
+// capacity.
 func (bnd Bounds) Idle() bool { return bnd.idle }
 
-// For gives the bounds of a service whose owner weighs cost, or attainment. With
-// a stage that fails half of its calls, attainment costs some per cent more
-// endpoint time, see docs/MEASUREMENTS.md.
+// For returns the bounds of a service that favours low cost, or else attainment of its
+// targets. With a stage that fails half of its calls, favouring attainment costs a few
+// per cent more endpoint time, see docs/MEASUREMENTS.md.
 func For(weighsCost bool) Bounds {
 	if weighsCost {
 		return Bounds{attempts: 3}
@@ -71,55 +70,54 @@
 	return Bounds{attempts: 5, idle: true}
 }
 
-// Budget is the retry budget of one pool at one instance. The zero value is
-// full. It is not safe for concurrent use.
+// Budget is the retry budget of one pool at one instance, a token bucket that first
+// attempts refill. The zero value is a full budget with the default share and reserve.
+// It is not safe for concurrent use.
 type Budget struct {
 	spent   float64
 	share   float64
 	reserve float64
 }
 
-// NewBudget returns a full budget in which each first attempt pays for a share of
-// a retry, and which holds as many as reserve; zeros stand for the package's own.
-// In any span there are at most reserve retries and a share of the first attempts
-// in it.
-func NewBudget(share, most float64) Budget { return Budget{share: share, reserve: most} }
+// NewBudget returns a full budget with a capacity of reserve retries, to which each
+// first attempt adds share; zeros select the defaults. In any period there are at most
+// reserve retries plus share times the first attempts in it.
+func NewBudget(share, reserve float64) Budget { return Budget{share: share, reserve: reserve} }
 
-// SetReserve changes how many retries the budget holds: instances come and go, and
-// what all of them may do is divided among them.
-func (bdg *Budget) SetReserve(most float64) { bdg.reserve = most }
+// SetReserve changes the capacity. The total for a pool is divided among its instances,
+// whose number changes.
+func (bdg *Budget) SetReserve(reserve float64) { bdg.reserve = reserve }
 
-// First notes a first attempt.
+// First records a first attempt, which refills the budget by its share.
 func (bdg *Budget) First() {
 	share := bdg.share
 	if share == 0 {
-		share = Share
+		share = DefaultShare
 	}
 	bdg.spent = max(0, bdg.spent-share)
 }
 
-// Take asks for one retry.
+// Take withdraws one retry and reports whether the budget allowed it.
 func (bdg *Budget) Take() bool {
-	most := bdg.reserve
-	if most == 0 {
-		most = reserve
+	limit := bdg.reserve
+	if limit == 0 {
+		limit = defaultReserve
 	}
-	if bdg.spent+1 > most {
+	if bdg.spent+1 > limit {
 		return false
 	}
 	bdg.spent++
 	return true
 }
 
-// Allowed tells whether work may be done again: nothing of it ran, or running
-// it again has no effect.
+// Allowed reports whether work may be retried: nothing of it ran, or it is idempotent.
 func Allowed(ranNothing, nonIdempotent bool) bool {
 	return ranNothing || !nonIdempotent
 }
 
-// After gives a span to come back after: base, doubled with each earlier
-// refusal up to a bound, and spread over its upper half so that those refused
-// together don't return together.
+// After returns a retry-after delay with exponential backoff: base, doubled with each
+// earlier refusal up to 32 times base. Jitter over the upper half keeps callers that
+// were refused together from returning together.
 func After(base clock.Milli, earlier int, rng *rand.Rand) clock.Milli {
 	span := base << min(max(earlier, 0), 5)
 	if span < 2 {
@@ -128,8 +126,8 @@
 	return span/2 + clock.Milli(rng.Int64N(int64(span/2)))
 }
 
-// Spread gives a span to come back after that lies anywhere from base to twice as much,
-// so that those refused together don't return together.
+// Spread returns a retry-after delay with jitter, from base to twice base, so that
+// callers that were refused together don't return together.
 func Spread(base clock.Milli) clock.Milli {
 	return After(2*base, 0, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 }
--- a/pkg/retry/retry_test.go
+++ b/pkg/retry/retry_test.go
@@ -13,9 +13,9 @@
 
 func TestMain(m *testing.M) { golden.Main(m) }
 
-// TestBudgetIsKept: whatever the order, there are never more retries than the
-// reserve and the share of the first attempts.
-func TestBudgetIsKept(t *testing.T) {
+// TestBudgetLimitsRetries: in any order of events there are at most as many retries as
+// the reserve plus the share of the first attempts.
+func TestBudgetLimitsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var bdg Budget
 		first, taken := 0, 0
@@ -27,26 +27,26 @@
 				taken++
 			}
 		}
-		if float64(taken) > reserve+Share*float64(first)+0.001 {
+		if float64(taken) > defaultReserve+DefaultShare*float64(first)+0.001 {
 			t.Fatalf("%d retries for %d first attempts", taken, first)
 		}
 	})
 }
 
-// TestComeBackIsSpread: callers refused together are not told one instant, and
-// none is told less than half of the span or more than it.
-func TestComeBackIsSpread(t *testing.T) {
+// TestBackoffHasJitter guards against callers that were refused together returning
+// together: delays differ, and all are within the upper half of the backoff.
+func TestBackoffHasJitter(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	seen := map[clock.Milli]bool{}
 	for range 1000 {
 		span := After(500, 1, rng)
 		if span < 500 || span >= 1000 {
-			t.Fatalf("%d is not in 500 to 1000", span)
+			t.Fatalf("delay of %d ms is not in [500, 1000)", span)
 		}
 		seen[span] = true
 	}
 	if len(seen) < 300 {
-		t.Fatalf("only %d different spans", len(seen))
+		t.Fatalf("only %d different delays in 1000", len(seen))
 	}
 }
 
--- a/pkg/rumor/doc.go
+++ b/pkg/rumor/doc.go
@@ -1,17 +1,17 @@
-// Package rumor keeps short-lived facts that one instance learns and all should know.
+// Package rumor replicates short-lived facts to all instances by gossip.
 //
-// A [Table] is a set of registers, each found by its kind and key. Whoever changes a fact
-// raises its version; of two versions the higher one stands, and of two values of the same
-// version the one that sorts last, so that tables which have been told the same facts agree in
-// whatever order they came. No clock takes part in that: the clocks of instances differ.
+// A [Table] is a set of registers, each identified by its kind and key. An instance that changes
+// a fact increments its version. The higher version wins, and of two values of the same version
+// the one that sorts last, so that tables converge whatever the order in which they receive the
+// facts. Versions don't depend on clocks, since the clocks of instances differ.
 //
-// Facts travel with their ages and are dropped once they are older than their kind is kept, so
-// that what a source never takes back, because it ended or is cut off, ends by itself.
+// Facts are sent with their ages and dropped when they exceed the retention of their kind, so
+// that a fact expires even if its source crashes or is partitioned before retracting it.
 //
-// # Spreading
+// # Dissemination
 //
-// The package sends nothing. Its caller passes on what [Table.Learn] calls fresh, at once
-// (rumor mongering), and compares [Table.Digest] with its peers' now and then and exchanges
-// facts where they differ (anti-entropy; A. Demers et al., "Epidemic algorithms for
+// The package does no I/O. Its caller forwards the facts that [Table.Learn] returns at once
+// (rumor mongering). It also compares [Table.Digest] with that of its peers from time to time and
+// exchanges facts if they differ (anti-entropy; A. Demers et al., "Epidemic algorithms for
 // replicated database maintenance", PODC 1987).
 package rumor
--- a/pkg/rumor/rumor.go
+++ b/pkg/rumor/rumor.go
@@ -13,39 +13,39 @@
 
 //go:generate go tool stringer -type=Kind -linecomment -output=kind_string.go
 
-// Kind is what a fact speaks of.
+// Kind is the kind of a fact.
 type Kind uint8
 
-// The kinds.
+// Kinds of facts.
 const (
-	// EndedUnder: an endpoint ended under a request; the key names both.
+	// EndedUnder: an endpoint crashed with a request in flight; the key identifies both.
 	EndedUnder Kind = iota + 1 // ended_under
-	// NamedRate: an endpoint, which the key names, takes so many requests a second.
+	// NamedRate: the maximum request rate that an endpoint declares; the key is the endpoint.
 	NamedRate // named_rate
 )
 
-// Fact is one fact as it travels.
+// Fact is the wire form of a fact.
 type Fact struct {
 	Kind    Kind   `cbor:"1,keyasint"`
 	Key     string `cbor:"2,keyasint"`
 	Value   string `cbor:"3,keyasint,omitempty"`
 	Version uint64 `cbor:"4,keyasint"`
-	// Age is how long ago the fact was learned by whoever learned it first.
+	// Age is the time since the instance that originated the fact recorded it.
 	Age clock.Milli `cbor:"5,keyasint,omitempty"`
 }
 
-// Bounds are those of a kind of fact.
+// Bounds limit the facts of one kind.
 type Bounds struct {
-	// Keep is how long a fact is kept after it was learned.
+	// Keep is the retention of a fact, counted from its origin.
 	Keep clock.Milli
-	// Most is how many facts are kept. Beyond it the ones of least weight go, of
-	// these the oldest.
+	// Most is the maximum number of facts. Beyond it the fact of the lowest weight is
+	// evicted, the oldest of these first.
 	Most int
-	// Weight tells how much a fact matters; nil for all alike.
+	// Weight returns the weight of a fact; nil if all weigh the same.
 	Weight func(key string) int
 }
 
-type name struct {
+type factID struct {
 	kind Kind
 	key  string
 }
@@ -56,28 +56,28 @@
 	at      clock.Milli
 }
 
-// Table has the facts that an instance knows. The zero value knows none, and keeps none
-// before [Table.Bound]. It is not safe for concurrent use.
+// Table holds the facts known to an instance. The zero value is empty and accepts facts only of
+// kinds set by [Table.Bound]. It is not safe for concurrent use.
 type Table struct {
 	bounds  map[Kind]Bounds
-	facts   map[name]entry
+	facts   map[factID]entry
 	counts  map[Kind]int
 	digest  uint64
 	evicted int
 }
 
-// Bound sets the bounds of a kind; facts of other kinds are not kept.
+// Bound sets the bounds of a kind. Facts of kinds without bounds are ignored.
 func (tbl *Table) Bound(kind Kind, bnd Bounds) {
 	if tbl.bounds == nil {
-		tbl.bounds, tbl.facts, tbl.counts = map[Kind]Bounds{}, map[name]entry{}, map[Kind]int{}
+		tbl.bounds, tbl.facts, tbl.counts = map[Kind]Bounds{}, map[factID]entry{}, map[Kind]int{}
 	}
 	tbl.bounds[kind] = bnd
 }
 
-// Set notes what this instance has learned, and gives the fact to be passed on; false if the
-// table says so already.
+// Set records a fact that originates here and returns it for dissemination. It returns false if
+// the table already has this value, or does not accept the fact.
 func (tbl *Table) Set(kind Kind, key, value string, now clock.Milli) (Fact, bool) {
-	if old, ok := tbl.facts[name{kind, key}]; ok && old.value == value {
+	if old, ok := tbl.facts[factID{kind, key}]; ok && old.value == value {
 		return Fact{}, false
 	}
 	fct := tbl.Renew(kind, key, value, now)
@@ -85,55 +85,57 @@
 	return fct, ok
 }
 
-// Renew notes what this instance has learned, though the table may say so already, and gives the
-// fact to be passed on: its age counts from now.
+// Renew records a fact that originates here, even if the table already has this value, and
+// returns it for dissemination. Its age counts from now.
 func (tbl *Table) Renew(kind Kind, key, value string, now clock.Milli) Fact {
-	fct := Fact{Kind: kind, Key: key, Value: value, Version: tbl.facts[name{kind, key}].version + 1}
+	fct := Fact{Kind: kind, Key: key, Value: value, Version: tbl.facts[factID{kind, key}].version + 1}
 	tbl.Learn([]Fact{fct}, now)
 	return fct
 }
 
-// Learn takes facts from another instance, and gives those that changed the table.
+// Learn merges facts from another instance and returns those that changed the table.
 func (tbl *Table) Learn(list []Fact, now clock.Milli) []Fact {
 	var fresh []Fact
 	for _, fct := range list {
-		if tbl.learn(fct, now) {
+		if tbl.merge(fct, now) {
 			fresh = append(fresh, fct)
 		}
 	}
 	return fresh
 }
 
-func (tbl *Table) learn(fct Fact, now clock.Milli) bool {
+// merge merges one fact and reports whether it changed the table.
+func (tbl *Table) merge(fct Fact, now clock.Milli) bool {
 	bnd, ok := tbl.bounds[fct.Kind]
 	if !ok || fct.Age < 0 || fct.Age >= bnd.Keep {
 		return false
 	}
-	nme := name{fct.Kind, fct.Key}
-	old, known := tbl.facts[nme]
+	fid := factID{fct.Kind, fct.Key}
+	old, known := tbl.facts[fid]
 	if known && cmp.Or(cmp.Compare(fct.Version, old.version), cmp.Compare(fct.Value, old.value)) <= 0 {
 		return false
 	}
 	if known {
-		tbl.drop(nme)
+		tbl.drop(fid)
 	} else if tbl.counts[fct.Kind] >= bnd.Most && !tbl.evict(fct, bnd, now) {
 		return false
 	}
-	tbl.facts[nme] = entry{value: fct.Value, version: fct.Version, at: now - fct.Age}
+	tbl.facts[fid] = entry{value: fct.Value, version: fct.Version, at: now - fct.Age}
 	tbl.counts[fct.Kind]++
-	tbl.digest ^= digest(nme, tbl.facts[nme])
+	tbl.digest ^= digest(fid, tbl.facts[fid])
 	return true
 }
 
-// evict makes place for a fact; false if it matters less than all others.
+// evict drops the least important fact to make room for a new one. It returns false if the new
+// fact is the least important one itself.
 func (tbl *Table) evict(fct Fact, bnd Bounds, now clock.Milli) bool {
-	least, lightest, oldest := name{fct.Kind, fct.Key}, bnd.weight(fct.Key), now-fct.Age
-	for nme, ent := range tbl.facts {
-		if nme.kind != fct.Kind {
+	least, lightest, oldest := factID{fct.Kind, fct.Key}, bnd.weight(fct.Key), now-fct.Age
+	for fid, ent := range tbl.facts {
+		if fid.kind != fct.Kind {
 			continue
 		}
-		if weight := bnd.weight(nme.key); weight < lightest || weight == lightest && ent.at < oldest {
-			least, lightest, oldest = nme, weight, ent.at
+		if weight := bnd.weight(fid.key); weight < lightest || weight == lightest && ent.at < oldest {
+			least, lightest, oldest = fid, weight, ent.at
 		}
 	}
 	tbl.evicted++
@@ -151,49 +153,49 @@
 	return bnd.Weight(key)
 }
 
-func (tbl *Table) drop(nme name) {
-	tbl.digest ^= digest(nme, tbl.facts[nme])
-	tbl.counts[nme.kind]--
-	delete(tbl.facts, nme)
+func (tbl *Table) drop(fid factID) {
+	tbl.digest ^= digest(fid, tbl.facts[fid])
+	tbl.counts[fid.kind]--
+	delete(tbl.facts, fid)
 }
 
-// Expire drops the facts that are too old, and tells whether there were any.
+// Expire drops the facts that exceed their retention and reports whether there were any.
 func (tbl *Table) Expire(now clock.Milli) bool {
 	expired := false
-	for nme, ent := range tbl.facts {
-		if now-ent.at >= tbl.bounds[nme.kind].Keep {
-			tbl.drop(nme)
+	for fid, ent := range tbl.facts {
+		if now-ent.at >= tbl.bounds[fid.kind].Keep {
+			tbl.drop(fid)
 			expired = true
 		}
 	}
 	return expired
 }
 
-// Get gives the value of a fact and when it was learned; false if nothing is known.
+// Get returns the value of a fact and the time of its origin; false if the fact is unknown.
 func (tbl *Table) Get(kind Kind, key string) (value string, at clock.Milli, ok bool) {
-	ent, ok := tbl.facts[name{kind, key}]
+	ent, ok := tbl.facts[factID{kind, key}]
 	return ent.value, ent.at, ok
 }
 
-// All gives the facts of a kind, in the order of their keys.
+// All returns the facts of a kind, sorted by key.
 func (tbl *Table) All(kind Kind, now clock.Milli) []Fact {
 	var list []Fact
-	for nme, ent := range tbl.facts {
-		if nme.kind == kind {
-			list = append(list, Fact{Kind: kind, Key: nme.key, Value: ent.value, Version: ent.version, Age: now - ent.at})
+	for fid, ent := range tbl.facts {
+		if fid.kind == kind {
+			list = append(list, Fact{Kind: kind, Key: fid.key, Value: ent.value, Version: ent.version, Age: now - ent.at})
 		}
 	}
 	slices.SortFunc(list, func(x, y Fact) int { return cmp.Compare(x.Key, y.Key) })
 	return list
 }
 
-// Some gives up to most facts of all kinds. Where there are more, half are those of the
-// greatest weight, for a peer that knows nothing yet, and half are any: each exchange carries
-// other ones.
-func (tbl *Table) Some(most int, now clock.Milli) []Fact {
+// Sample returns up to most facts of all kinds. If there are more, half are those of the highest
+// weight, for peers with an empty table, and half are a random sample, so that each exchange
+// carries different ones.
+func (tbl *Table) Sample(most int, now clock.Milli) []Fact {
 	list := make([]Fact, 0, len(tbl.facts))
-	for nme, ent := range tbl.facts {
-		list = append(list, Fact{Kind: nme.kind, Key: nme.key, Value: ent.value, Version: ent.version, Age: now - ent.at})
+	for fid, ent := range tbl.facts {
+		list = append(list, Fact{Kind: fid.kind, Key: fid.key, Value: ent.value, Version: ent.version, Age: now - ent.at})
 	}
 	if len(list) <= most {
 		return list
@@ -205,31 +207,32 @@
 	return list[:most]
 }
 
-// Len gives the number of facts.
+// Len returns the number of facts.
 func (tbl *Table) Len() int { return len(tbl.facts) }
 
-// Evicted gives how many facts found no place so far.
+// Evicted returns how many facts were evicted or rejected for lack of room so far.
 func (tbl *Table) Evicted() int { return tbl.evicted }
 
-// Digest names what the table says, whatever the ages; zero for nothing.
+// Digest returns a hash of the table's contents without the ages; zero if it is empty.
 func (tbl *Table) Digest() uint64 { return tbl.digest }
 
-// Digest names what a list of facts says, whatever the ages; zero for nothing.
+// Digest returns a hash of a list of facts without the ages, comparable with that of a table;
+// zero if the list is empty.
 func Digest(list []Fact) uint64 {
 	sum := uint64(0)
 	for _, fct := range list {
-		sum ^= digest(name{fct.Kind, fct.Key}, entry{value: fct.Value, version: fct.Version})
+		sum ^= digest(factID{fct.Kind, fct.Key}, entry{value: fct.Value, version: fct.Version})
 	}
 	return sum
 }
 
-func digest(nme name, ent entry) uint64 {
+func digest(fid factID, ent entry) uint64 {
 	sum := xxhash.New()
 	var head [10]byte
-	head[0], head[1] = byte(nme.kind), byte(len(nme.key))
+	head[0], head[1] = byte(fid.kind), byte(len(fid.key))
 	binary.BigEndian.PutUint64(head[2:], ent.version)
 	_, _ = sum.Write(head[:])
-	_, _ = sum.WriteString(nme.key)
+	_, _ = sum.WriteString(fid.key)
 	_, _ = sum.WriteString(ent.value)
 	return sum.Sum64()
 }
--- a/pkg/rumor/rumor_test.go
+++ b/pkg/rumor/rumor_test.go
@@ -22,18 +22,18 @@
 	for _, tbl := range []*Table{&one, &two} {
 		tbl.Bound(EndedUnder, Bounds{Keep: clock.Minute, Most: 10})
 	}
-	one.Set(EndedUnder, "request", "told by one", 0)
+	one.Set(EndedUnder, "request", "set by one", 0)
 	fmt.Println(one.Digest() == two.Digest())
-	two.Learn(one.Some(10, 20), 20)
+	two.Learn(one.Sample(10, 20), 20)
 	value, at, _ := two.Get(EndedUnder, "request")
 	fmt.Println(one.Digest() == two.Digest(), value, at)
 	// Output:
 	// false
-	// true told by one 0
+	// true set by one 0
 }
 
-// Guards against tables that were told the same facts and say different things.
-func TestTablesAgree(t *testing.T) {
+// Guards against tables that receive the same facts in different orders and don't converge.
+func TestTablesConverge(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		gom := gomega.NewWithT(t)
 		facts := rapid.SliceOf(rapid.Custom(func(rt *rapid.T) Fact {
@@ -60,21 +60,22 @@
 	})
 }
 
-// Guards against facts that circulate for ever: one that a peer still has is not taken again.
-func TestFactsEnd(t *testing.T) {
+// Guards against facts that circulate for ever: an expired fact that a peer still has must not be
+// accepted again.
+func TestFactsExpire(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	one, two := newTable(10), newTable(10)
 	one.Set(EndedUnder, "a", "x", 0)
-	late := one.Some(10, clock.Minute-1)
+	late := one.Sample(10, clock.Minute-1)
 	gom.Expect(two.Learn(late, clock.Minute-1)).To(gomega.HaveLen(1))
 	gom.Expect(one.Expire(clock.Minute)).To(gomega.BeTrue())
 	gom.Expect(one.Digest()).To(gomega.BeZero())
-	gom.Expect(one.Learn(two.Some(10, clock.Minute), clock.Minute)).To(gomega.BeEmpty())
+	gom.Expect(one.Learn(two.Sample(10, clock.Minute), clock.Minute)).To(gomega.BeEmpty())
 	gom.Expect(one.Expire(clock.Minute)).To(gomega.BeFalse())
 }
 
-// Guards against many new facts that push out those which matter more.
-func TestWeightyFactsStay(t *testing.T) {
+// Guards against the eviction of facts of high weight by many new ones.
+func TestEvictionFollowsWeight(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	tbl := &Table{}
 	tbl.Bound(EndedUnder, Bounds{Keep: clock.Minute, Most: 4, Weight: func(key string) int {
--- a/pkg/rumor/spread.go
+++ b/pkg/rumor/spread.go
@@ -2,50 +2,51 @@
 
 import "amaranthvalve/pkg/clock"
 
-// Most bounds the facts in one message, some 80 B each.
-const Most = 64
+// MaxMessageFacts is the maximum number of facts in a message, some 80 B each.
+const MaxMessageFacts = 64
 
-// Spread decides what an instance tells the others of its table. The zero value has an empty
-// one. It is not safe for concurrent use.
+// Spread selects the facts that an instance sends to its peers. The zero value has an empty
+// table. It is not safe for concurrent use.
 //
-// What is learned goes to the neighbours at once, and where not everybody is a neighbour on
-// from there. Whoever hears nothing of it, since it was cut off or started later, is told at
-// the next probe: probes and their answers carry digests.
+// New facts are sent to the neighbours at once, and forwarded by them unless all instances are
+// neighbours. An instance that misses them because it was partitioned or started later gets them
+// at the next probe, since probes and their replies carry digests.
 type Spread struct {
 	Table
-	fresh []Fact
+	pending []Fact
 }
 
-// Learned takes facts that this instance has learned by itself and set in its table.
-func (spr *Spread) Learned(fresh ...Fact) { spr.fresh = append(spr.fresh, fresh...) }
+// Learned queues facts that originate at this instance and are already in its table.
+func (spr *Spread) Learned(fresh ...Fact) { spr.pending = append(spr.pending, fresh...) }
 
-// Told takes the facts of a message, and tells whether any was new. mesh tells that whoever
-// learned them told all others itself.
+// Told merges the facts of a message and reports whether any of them changed the table. With mesh
+// set the originator sends to all instances itself, and the facts are not forwarded.
 func (spr *Spread) Told(list []Fact, mesh bool, now clock.Milli) bool {
 	fresh := spr.Learn(list, now)
 	if !mesh {
-		spr.fresh = append(spr.fresh, fresh...)
+		spr.pending = append(spr.pending, fresh...)
 	}
 	return len(fresh) > 0
 }
 
-// Missing gives facts for an instance whose table has a digest, empty if it knows the same.
+// Missing returns facts for an instance whose table has the given digest; none if the digests
+// are equal.
 func (spr *Spread) Missing(digest uint64, now clock.Milli) []Fact {
 	if digest == spr.Digest() {
 		return nil
 	}
-	return spr.Some(Most, now)
+	return spr.Sample(MaxMessageFacts, now)
 }
 
-// Waiting tells whether there are facts to be told to the neighbours.
-func (spr *Spread) Waiting() bool { return len(spr.fresh) > 0 }
+// Waiting reports whether facts are queued for the neighbours.
+func (spr *Spread) Waiting() bool { return len(spr.pending) > 0 }
 
-// Flush gives the facts to be told to the neighbours, in parts for one message each.
+// Flush returns the queued facts in batches of one message each and empties the queue.
 func (spr *Spread) Flush() [][]Fact {
 	var parts [][]Fact
-	for rest := spr.fresh; len(rest) > 0; rest = rest[min(len(rest), Most):] {
-		parts = append(parts, rest[:min(len(rest), Most)])
+	for rest := spr.pending; len(rest) > 0; rest = rest[min(len(rest), MaxMessageFacts):] {
+		parts = append(parts, rest[:min(len(rest), MaxMessageFacts)])
 	}
-	spr.fresh = nil
+	spr.pending = nil
 	return parts
 }
--- a/pkg/rumor/spread_test.go
+++ b/pkg/rumor/spread_test.go
@@ -12,27 +12,27 @@
 	"amaranthvalve/pkg/rumor"
 )
 
-// knowers is a fleet in which some instances learn facts.
-type knowers struct{ *fleet.Fleet }
+// replicas is a fleet whose instances replicate facts.
+type replicas struct{ *fleet.Fleet }
 
-func newKnowers(count int, lost float64, seed uint64) knowers {
-	return knowers{fleet.New(fleet.Setup{Count: count, Lost: lost, Seed: seed, Begin: func(ins *fleet.Instance) {
+func newReplicas(count int, lost float64, seed uint64) replicas {
+	return replicas{fleet.New(fleet.Setup{Count: count, Lost: lost, Seed: seed, Begin: func(ins *fleet.Instance) {
 		ins.Spread().Bound(rumor.EndedUnder, rumor.Bounds{Keep: clock.Hour, Most: 1000})
 	}})}
 }
 
-// learn has an instance learn a fact by itself.
-func (knw knowers) learn(i int, key string) {
-	spread := knw.Instances()[i].Spread()
-	if fct, ok := spread.Set(rumor.EndedUnder, key, "x", knw.Now()); ok {
+// originate originates a fact at an instance.
+func (rep replicas) originate(i int, key string) {
+	spread := rep.Instances()[i].Spread()
+	if fct, ok := spread.Set(rumor.EndedUnder, key, "x", rep.Now()); ok {
 		spread.Learned(fct)
 	}
 }
 
-// knowing counts the instances that know so many facts.
-func (knw knowers) knowing(count int) int {
+// countWith counts the instances with the given number of facts.
+func (rep replicas) countWith(count int) int {
 	all := 0
-	for _, ins := range knw.Instances() {
+	for _, ins := range rep.Instances() {
 		if ins.Spread().Len() == count {
 			all++
 		}
@@ -40,60 +40,60 @@
 	return all
 }
 
-// Guards against facts that some instances hear of too late, in systems of each size: over links
-// that lose messages, by instances that were cut off, and by such as start later.
-func TestAllKnowInTime(t *testing.T) {
+// Guards against facts that reach some instances too late, at each system size: over links that
+// lose messages, after a partition, and after restarts.
+func TestFactsReachAllInTime(t *testing.T) {
 	for _, size := range []struct {
 		instances int
 		within    clock.Milli
 	}{{8, 3 * clock.Second}, {66, 3 * clock.Second}, {195, 5 * clock.Second}} {
 		t.Run(fmt.Sprint(size.instances), func(t *testing.T) {
 			gom := gomega.NewWithT(t)
-			knw := newKnowers(size.instances, 0.05, uint64(size.instances))
-			knw.Run(2*clock.Second, nil)
+			rep := newReplicas(size.instances, 0.05, uint64(size.instances))
+			rep.Run(2*clock.Second, nil)
 			for i := range 3 {
-				knw.learn(i, fmt.Sprint(i))
-				knw.Run(500, nil)
+				rep.originate(i, fmt.Sprint(i))
+				rep.Run(500, nil)
 			}
-			gom.Expect(knw.knowing(3)).To(gomega.BeNumerically(">=", size.instances*99/100), "at once")
-			knw.Run(size.within-500, nil)
-			gom.Expect(knw.knowing(3)).To(gomega.Equal(size.instances))
+			gom.Expect(rep.countWith(3)).To(gomega.BeNumerically(">=", size.instances*99/100), "at once")
+			rep.Run(size.within-500, nil)
+			gom.Expect(rep.countWith(3)).To(gomega.Equal(size.instances))
 
-			for i, ins := range knw.Instances() {
-				knw.Cut(ins, i%5 == 4)
+			for i, ins := range rep.Instances() {
+				rep.Cut(ins, i%5 == 4)
 			}
-			knw.learn(0, "while some are cut off")
-			knw.Run(2*clock.Second, nil)
-			for _, ins := range knw.Instances() {
-				knw.Cut(ins, false)
+			rep.originate(0, "while some are cut off")
+			rep.Run(2*clock.Second, nil)
+			for _, ins := range rep.Instances() {
+				rep.Cut(ins, false)
 			}
-			knw.Run(size.within, nil)
-			gom.Expect(knw.knowing(4)).To(gomega.Equal(size.instances), "after the cut")
+			rep.Run(size.within, nil)
+			gom.Expect(rep.countWith(4)).To(gomega.Equal(size.instances), "after the cut")
 
-			knw.Restart(func(i int) bool { return i%10 == 9 })
-			knw.Run(size.within, nil)
-			gom.Expect(knw.knowing(4)).To(gomega.Equal(size.instances), "after restarts")
+			rep.Restart(func(i int) bool { return i%10 == 9 })
+			rep.Run(size.within, nil)
+			gom.Expect(rep.countWith(4)).To(gomega.Equal(size.instances), "after restarts")
 		})
 	}
 }
 
-// Guards against facts that are told without end: each instance tells each neighbour once.
-func TestFactsAreToldOnce(t *testing.T) {
+// Guards against endless forwarding: each instance sends a fact to each neighbour at most once.
+func TestFactsAreForwardedOnce(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	for _, count := range []int{8, 66} {
-		knw := newKnowers(count, 0, 1)
-		knw.Run(clock.Second, nil)
+		rep := newReplicas(count, 0, 1)
+		rep.Run(clock.Second, nil)
 		before := map[*fleet.Instance]int{}
-		for _, ins := range knw.Instances() {
+		for _, ins := range rep.Instances() {
 			before[ins] = ins.Sent()
 		}
-		knw.learn(0, "one")
-		knw.Run(20*fleet.Step-1, nil)
+		rep.originate(0, "one")
+		rep.Run(20*fleet.Step-1, nil)
 		most := 0
-		for _, ins := range knw.Instances() {
+		for _, ins := range rep.Instances() {
 			most = max(most, ins.Sent()-before[ins])
 		}
-		gom.Expect(knw.knowing(1)).To(gomega.Equal(count))
+		gom.Expect(rep.countWith(1)).To(gomega.Equal(count))
 		gom.Expect(most).To(gomega.BeNumerically("<=", member.MeshSize))
 	}
 }
