--- a/pkg/route/entries.go
+++ b/pkg/route/entries.go
@@ -5,25 +5,25 @@
 	"slices"
 )
 
-// maxEntries is how many addresses an answer names: the one to use and others
-// to go to when it does not answer.
+// maxEntries is the number of addresses returned to a caller: one to use and
+// alternatives for when it doesn't respond.
 const maxEntries = 3
 
-// Entry is an instance that callers may be sent to.
+// Entry is an instance that callers can be directed to.
 type Entry struct {
 	Addr string
 	Zone string
-	// Boot is the number of the process there.
+	// Boot identifies the process of the instance.
 	Boot string
-	// Load is the requests under way at the instance, as it last said.
+	// Load is the number of requests in flight that the instance last reported.
 	Load int
 }
 
-// Entries answers "which address" for a caller in a zone. The caller keeps the
-// answer, so that whoever asks in one moment must not all be told the same one,
-// however good it looks: of two drawn at random the less loaded comes first.
-// Instances in the caller's own data centre go before others; the last entry is
-// in another data centre if there is one, for a data centre may fail as a whole.
+// Entries selects the instances for a caller in a zone, the preferred one first. Callers
+// cache the result, so those that ask at the same time must not all get the instance
+// with the lowest load: the less loaded of two random ones is taken. Instances in the
+// caller's data centre come first. The last entry is in another data centre if there is
+// one, since a data centre may fail as a whole.
 func Entries(cands []Entry, zone string, rng *rand.Rand) []Entry {
 	near, far := split(cands, zone)
 	if len(near) == 0 {
@@ -38,6 +38,7 @@
 	return append(picked, draw(&near, rng)...)
 }
 
+// split separates the candidates in a zone from the others; an empty zone includes all.
 func split(cands []Entry, zone string) (near, far []Entry) {
 	for _, ent := range cands {
 		if zone == "" || ent.Zone == zone {
@@ -49,7 +50,7 @@
 	return near, far
 }
 
-// draw takes the less loaded of two random candidates out of the list.
+// draw removes the less loaded of two random candidates from the list and returns it.
 func draw(list *[]Entry, rng *rand.Rand) []Entry {
 	if len(*list) == 0 {
 		return nil
--- a/pkg/route/learn.go
+++ b/pkg/route/learn.go
@@ -6,23 +6,23 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// Verdict is how a piece of work at an endpoint ended, as far as the endpoint's
-// health goes.
+// Verdict is the outcome of an attempt with regard to the health of its endpoint.
 type Verdict int
 
-// The verdicts.
+// Outcomes of an attempt.
 const (
-	// Good: answered, whatever the answer was.
+	// Good: the endpoint answered, with whatever status.
 	Good Verdict = iota
-	// Overload: the endpoint refused or ran out of time.
+	// Overload: the endpoint refused the request or timed out.
 	Overload
-	// Broken: no connection, a cut one, or nonsense.
+	// Broken: no connection, a broken connection, or a malformed answer.
 	Broken
-	// Neutral: we gave the work up ourselves; nothing is learned.
+	// Neutral: this instance cancelled the attempt, which says nothing about the
+	// endpoint.
 	Neutral
 )
 
-// Finish notes the end of work that Pick placed.
+// Finish records the end of an attempt that [Pool.Pick] started.
 func (pl *Pool) Finish(id string, ver Verdict, took, now clock.Milli) {
 	pr, ok := pl.byID[id]
 	if !ok {
@@ -33,64 +33,66 @@
 	pr.probing = false
 	switch ver {
 	case Good:
-		pl.good(pr, took, now, probe)
+		pl.onSuccess(pr, took, now, probe)
 	case Overload:
 		pr.limiter.Overloaded(now, took)
-		pl.bad(pr, now, probe)
+		pl.onFailure(pr, now, probe)
 	case Broken:
-		pl.bad(pr, now, probe)
+		pl.onFailure(pr, now, probe)
 	case Neutral:
 	}
 }
 
-func (pl *Pool) good(pr *peer, took, now clock.Milli, probe bool) {
+func (pl *Pool) onSuccess(pr *peer, took, now clock.Milli, probe bool) {
 	pr.failures = 0
 	pr.limiter.Succeeded(now, took, pr.inFlight+1)
 	if probe {
-		// The old average speaks of the time when it was slow.
+		// The old average dates from before the ejection.
 		pr.latency, pr.samples = float64(took), 1
 	} else {
-		pr.sample(float64(took))
+		pr.addLatency(float64(took))
 	}
 	switch {
 	case pl.isSlow(pr):
-		pl.benchIt(pr, now)
-	case probe || pr.benched != 0 && now >= pr.benched:
-		pr.benched, pr.bench = 0, 0
+		pl.eject(pr, now)
+	case probe || pr.ejectedUntil != 0 && now >= pr.ejectedUntil:
+		pr.ejectedUntil, pr.ejection = 0, 0
 	}
 }
 
-func (pr *peer) sample(took float64) {
+func (pr *peer) addLatency(took float64) {
 	pr.samples++
 	if pr.samples == 1 {
 		pr.latency = took
 		return
 	}
-	pr.latency += ewmaShare * (took - pr.latency)
+	pr.latency += ewmaWeight * (took - pr.latency)
 }
 
-func (pl *Pool) bad(pr *peer, now clock.Milli, probe bool) {
+func (pl *Pool) onFailure(pr *peer, now clock.Milli, probe bool) {
 	pr.failures++
-	if probe || pr.failures >= failuresToBench {
-		pl.benchIt(pr, now)
+	if probe || pr.failures >= failuresToEject {
+		pl.eject(pr, now)
 	}
 }
 
-// benchIt takes an endpoint out. Its time doubles with each failed probe, so
-// that one which stays ill costs one request in 16 s.
-func (pl *Pool) benchIt(pr *peer, now clock.Milli) {
-	pr.bench = min(max(2*pr.bench, benchFor), maxBench)
-	pr.benched = now + pr.bench
+// eject ejects an endpoint. The time until the next probe doubles with each failed
+// one, so that an endpoint that doesn't recover costs one request in 16 s.
+func (pl *Pool) eject(pr *peer, now clock.Milli) {
+	pr.ejection = min(max(2*pr.ejection, minEjection), maxEjection)
+	pr.ejectedUntil = now + pr.ejection
 }
 
-// isSlow compares an endpoint with the median of the pool.
+// isSlow reports whether the latency of an endpoint is an outlier against the median
+// of the pool.
 func (pl *Pool) isSlow(pr *peer) bool {
-	if !pl.own() || pr.samples < minSamples && pr.benched == 0 || pr.latency < slowFloor {
+	if !pl.adaptive() || pr.samples < minSamples && pr.ejectedUntil == 0 || pr.latency < slowFloor {
 		return false
 	}
 	return pr.latency > slowFactor*pl.median()
 }
 
+// median returns the lower median of the latencies measured, without endpoints that are leaving.
 func (pl *Pool) median() float64 {
 	var all []float64
 	for _, pr := range pl.peers {
@@ -105,9 +107,9 @@
 	return all[(len(all)-1)/2]
 }
 
-// Report notes an endpoint's own word on its load: requests queued or running
-// there, of all instances. It was made at the instant at; older ones than the
-// last are ignored.
+// Report records the load that an endpoint reports: the requests of all instances
+// that are queued or running there at the instant at. A report that is not newer than
+// the last one is ignored.
 func (pl *Pool) Report(id string, load float64, at clock.Milli) {
 	pr, ok := pl.byID[id]
 	if !ok || at <= pr.reportAt {
@@ -117,8 +119,8 @@
 	pr.reportAt = at
 }
 
-// Leave notes that an endpoint is leaving, by whatever word; it gets no new
-// work from now on.
+// Leave marks an endpoint as leaving, whatever the source of the notice. It gets no
+// new requests. Leave reports whether this is a change.
 func (pl *Pool) Leave(id string) bool {
 	pr, ok := pl.byID[id]
 	if !ok || pr.leaving {
@@ -128,8 +130,8 @@
 	return true
 }
 
-// Evicted notes that an endpoint dropped a prefix from its cache. Such events
-// are late and have gaps, so that a prefix not evicted may still be gone.
+// Evicted records that an endpoint evicted a prefix from its cache. These events are
+// late and may be lost, so a prefix without one may be gone as well.
 func (pl *Pool) Evicted(id string, prefix uint64) {
 	if pr, ok := pl.byID[id]; ok {
 		delete(pr.prefixes, prefix)
@@ -137,7 +139,7 @@
 	}
 }
 
-// Standing is an endpoint's state for a person.
+// Standing is the state of an endpoint in the operators' view.
 type Standing struct {
 	ID       string  `json:"id"`
 	Addr     string  `json:"addr"`
@@ -149,13 +151,13 @@
 	Leaving  bool    `json:"leaving"`
 }
 
-// Standings lists the endpoints for a person.
+// Standings returns the state of all endpoints for operators.
 func (pl *Pool) Standings() []Standing {
 	list := make([]Standing, 0, len(pl.peers))
 	for _, pr := range pl.peers {
 		list = append(list, Standing{
 			ID: pr.ep.ID, Addr: pr.ep.Addr, Zone: pr.ep.Zone, InFlight: pr.inFlight, Limit: pr.limiter.Limit(),
-			Latency: pr.latency, Benched: pr.benched != 0, Leaving: pr.leaving,
+			Latency: pr.latency, Benched: pr.ejectedUntil != 0, Leaving: pr.leaving,
 		})
 	}
 	return list
--- a/pkg/route/pool.go
+++ b/pkg/route/pool.go
@@ -8,35 +8,36 @@
 	"amaranthvalve/pkg/limit"
 )
 
-// Constants of the choice.
+// Parameters of the selection.
 const (
-	// reportHalf is the age at which a report counts half.
-	reportHalf = 500.0
-	// ewmaShare is the weight of a new latency in the average.
-	ewmaShare = 0.2
-	// slowFactor times the pool's median latency makes an endpoint slow.
+	// reportHalfAge is the age in milliseconds at which a load report has half its weight.
+	reportHalfAge = 500.0
+	// ewmaWeight is the weight of a new sample in the average latency.
+	ewmaWeight = 0.2
+	// slowFactor is the multiple of the pool's median latency above which an endpoint
+	// is slow.
 	slowFactor = 4.0
-	// slowFloor is the latency below which nothing is called slow: a few
-	// milliseconds are scheduling noise.
+	// slowFloor is the latency in milliseconds below which no endpoint is slow, since
+	// differences of a few milliseconds are scheduling noise.
 	slowFloor = 20.0
-	// minSamples is how many latencies are needed before one is judged.
+	// minSamples is the number of latencies needed before an endpoint is judged.
 	minSamples = 5
-	// failuresToBench in a row bench an endpoint.
-	failuresToBench = 3
-	// benchFor is the time until a benched endpoint is probed.
-	benchFor = 2 * clock.Second
-	// maxBench bounds the time, which doubles with each failed probe.
-	maxBench = 16 * clock.Second
+	// failuresToEject is the number of consecutive failures that eject an endpoint.
+	failuresToEject = 3
+	// minEjection is the time from the first ejection to a probe.
+	minEjection = 2 * clock.Second
+	// maxEjection bounds that time, which doubles with each failed probe.
+	maxEjection = 16 * clock.Second
 	// warmSaving is the share of the cost that a warm prefix saves.
 	warmSaving = 0.5
-	// prefixMemory is how many prefixes are remembered an endpoint.
-	prefixMemory = 256
-	// farPenalty is added to the load of an endpoint in another data centre:
-	// a millisecond's way counts little against a queue.
-	farPenalty = 0.25
+	// maxPrefixes is the number of prefixes remembered for each endpoint.
+	maxPrefixes = 256
+	// remotePenalty is added to the load of an endpoint in another data centre. It is
+	// small, as a millisecond of network delay matters little compared to a queue.
+	remotePenalty = 0.25
 )
 
-// Endpoint is an endpoint as the instance list tells of it.
+// Endpoint is an endpoint in the instance list.
 type Endpoint struct {
 	ID      string
 	Addr    string
@@ -44,69 +45,77 @@
 	Leaving bool
 }
 
-// Peer is one endpoint as the pool knows it.
+// peer is the state of one endpoint.
 type peer struct {
 	ep       Endpoint
 	inFlight int
 	limiter  limit.Adaptive
+	// latency is the moving average in milliseconds.
 	latency  float64
 	samples  int
 	failures int
-	benched  clock.Milli
-	bench    clock.Milli
-	probing  bool
-	leaving  bool
+	// ejectedUntil is the time of the next probe, zero if the endpoint isn't ejected;
+	// ejection is the length of the current or last ejection.
+	ejectedUntil clock.Milli
+	ejection     clock.Milli
+	probing      bool
+	leaving      bool
+	// reported is the load by other instances in the last report.
 	reported float64
 	reportAt clock.Milli
-	turns    int
+	// sent counts the requests sent, for round robin.
+	sent int
+	// prefixes are the prefixes probably cached, recent lists them in order of insertion.
 	prefixes map[uint64]struct{}
 	recent   []uint64
 }
 
-// Pool is what one instance knows of a pool of endpoints. The zero value is an
-// empty pool. It is not safe for concurrent use.
+// Pool is the state of a pool of endpoints at one instance. Use [New] to make one. It is
+// not safe for concurrent use.
 type Pool struct {
 	zone  string
 	peers []*peer
 	byID  map[string]*peer
 	rng   *rand.Rand
-	// Plain switches parts off, for baselines.
-	plain Baseline
+	// policy selects a baseline policy for measurements.
+	policy Baseline
 }
 
-// Baseline names a plain way to choose, to measure the package against.
+// Baseline is a selection policy that the default one is compared with.
 type Baseline int
 
-// The baselines; Full is the package's own way.
+// Selection policies.
 const (
+	// Full is the default policy.
 	Full Baseline = iota
+	// Random selects any endpoint that is not leaving.
 	Random
+	// RoundRobin selects the endpoint with the fewest requests so far.
 	RoundRobin
+	// LeastReported selects the endpoint with the lowest reported load.
 	LeastReported
-	// Reports is Full with the load reports in the cost: measured, no better,
-	// and dropped.
+	// Reports is Full with load reports in the cost, which gives no better results.
 	Reports
 	// NoPrefix is Full without regard to warm prefixes.
 	NoPrefix
-	// Within is a random choice within the limits.
+	// Within selects any endpoint that is below its limit.
 	Within
 )
 
-// New returns an empty pool of an instance in a zone. The random numbers come
-// from rng, so that a test can repeat a run.
+// New returns an empty pool for an instance in a zone. rng makes the selection
+// reproducible in tests.
 func New(zone string, rng *rand.Rand) *Pool {
 	return &Pool{zone: zone, rng: rng, byID: map[string]*peer{}}
 }
 
-// UseBaseline makes the pool choose by a plain rule.
-func (pl *Pool) UseBaseline(bas Baseline) { pl.plain = bas }
+// UseBaseline selects another policy, for measurements.
+func (pl *Pool) UseBaseline(bas Baseline) { pl.policy = bas }
 
-// own tells whether limits and benches are in use.
-func (pl *Pool) own() bool { return pl.plain == Full || pl.plain >= Reports }
+// adaptive reports whether the policy uses limits and ejection.
+func (pl *Pool) adaptive() bool { return pl.policy == Full || pl.policy >= Reports }
 
-// Sync makes the pool hold just these endpoints; what is known of those that
-// stay is kept. An endpoint that was heard to be leaving stays so: the list
-// lags behind the endpoint's own word.
+// Sync replaces the endpoints and keeps the state of those that stay. An endpoint
+// marked as leaving remains so, since the list lags behind the endpoint's own notice.
 func (pl *Pool) Sync(eps []Endpoint) {
 	keep := map[string]bool{}
 	for _, ep := range eps {
@@ -128,20 +137,20 @@
 	}
 }
 
-// Len gives the number of endpoints.
+// Len returns the number of endpoints.
 func (pl *Pool) Len() int { return len(pl.peers) }
 
-// Ask is what is to be placed.
+// Ask holds the criteria for the selection of an endpoint.
 type Ask struct {
 	// Prefix is a hash of the prompt's prefix, zero for none.
 	Prefix uint64
-	// Avoid lists endpoints that were tried for this request.
+	// Avoid lists the IDs of endpoints that were already tried for this request.
 	Avoid []string
 }
 
-// Pick chooses an endpoint and counts the work as in flight there. It gives
-// false when every endpoint is at its limit, leaving or avoided; the caller
-// then waits or refuses.
+// Pick selects an endpoint and counts the request as in flight there. It returns
+// false if every endpoint is at its limit, leaving or avoided; the caller then queues
+// or refuses the request.
 func (pl *Pool) Pick(ask Ask, now clock.Milli) (Endpoint, bool) {
 	if probe := pl.dueProbe(ask, now); probe != nil {
 		probe.probing = true
@@ -157,7 +166,7 @@
 	return pl.take(pl.choose(open, ask, now), ask), true
 }
 
-// Room tells whether Pick would find an endpoint.
+// Room reports whether an endpoint is available, apart from probes.
 func (pl *Pool) Room(ask Ask) bool {
 	return len(pl.eligible(ask, true)) > 0 || len(pl.eligible(ask, false)) > 0
 }
@@ -173,26 +182,26 @@
 	return n
 }
 
-// Capacity adds up the limits of the endpoints in use: those that are well, or
-// all if none is, as Pick does.
+// Capacity returns the sum of the limits of the healthy endpoints, or of all if none is
+// healthy. Endpoints that are leaving are excluded.
 func (pl *Pool) Capacity() int {
-	well, all := 0, 0
+	healthy, all := 0, 0
 	for _, pr := range pl.peers {
 		if pr.leaving {
 			continue
 		}
 		all += pr.limiter.Limit()
-		if pr.benched == 0 {
-			well += pr.limiter.Limit()
+		if pr.ejectedUntil == 0 {
+			healthy += pr.limiter.Limit()
 		}
 	}
-	if well == 0 {
+	if healthy == 0 {
 		return all
 	}
-	return well
+	return healthy
 }
 
-// InFlight adds up this instance's own work.
+// InFlight returns the number of requests in flight from this instance.
 func (pl *Pool) InFlight() int {
 	sum := 0
 	for _, pr := range pl.peers {
@@ -201,58 +210,62 @@
 	return sum
 }
 
+// eligible returns the endpoints that can take a request: the healthy ones, or, with
+// healthy unset, all of them if none is healthy.
 func (pl *Pool) eligible(ask Ask, healthy bool) []*peer {
 	var open []*peer
-	anyWell := false
+	anyHealthy := false
 	for _, pr := range pl.peers {
 		if pr.leaving || slices.Contains(ask.Avoid, pr.ep.ID) {
 			continue
 		}
-		if pr.benched == 0 {
-			anyWell = true
+		if pr.ejectedUntil == 0 {
+			anyHealthy = true
 		}
-		if healthy && pr.benched != 0 || pl.own() && pr.inFlight >= pr.limiter.Limit() {
+		if healthy && pr.ejectedUntil != 0 || pl.adaptive() && pr.inFlight >= pr.limiter.Limit() {
 			continue
 		}
 		open = append(open, pr)
 	}
-	if !healthy && anyWell && pl.own() {
-		// Well endpoints exist and are full: wait for one of them. Spilling
-		// over to the benched would send them the whole excess.
+	if !healthy && anyHealthy && pl.adaptive() {
+		// All healthy endpoints are at their limits: wait for one of them. A
+		// fallback to the ejected ones would send them the whole excess.
 		return nil
 	}
 	return open
 }
 
-// dueProbe finds a benched endpoint whose time to be tried has come. Only one
-// request at a time is risked.
+// dueProbe returns an ejected endpoint that is due for a probe, or nil. Each endpoint
+// gets one probe at a time.
 func (pl *Pool) dueProbe(ask Ask, now clock.Milli) *peer {
-	if !pl.own() {
+	if !pl.adaptive() {
 		return nil
 	}
 	for _, pr := range pl.peers {
-		if pr.benched != 0 && !pr.probing && !pr.leaving && now >= pr.benched && !slices.Contains(ask.Avoid, pr.ep.ID) {
+		if pr.ejectedUntil != 0 && !pr.probing && !pr.leaving && now >= pr.ejectedUntil && !slices.Contains(ask.Avoid, pr.ep.ID) {
 			return pr
 		}
 	}
 	return nil
 }
 
+// take counts a request as in flight at an endpoint.
 func (pl *Pool) take(pr *peer, ask Ask) Endpoint {
 	pr.inFlight++
-	pr.turns++
+	pr.sent++
 	if ask.Prefix != 0 {
 		pr.remember(ask.Prefix)
 	}
 	return pr.ep
 }
 
+// choose selects one of the available endpoints by the policy.
 func (pl *Pool) choose(open []*peer, ask Ask, now clock.Milli) *peer {
-	switch pl.plain {
+	switch pl.policy {
 	case Random, Within:
 		return open[pl.rng.IntN(len(open))]
 	case RoundRobin:
-		return slices.MinFunc(open, func(x, y *peer) int { return x.turns - y.turns })
+		return slices.MinFunc(open, func(x, y *peer) int { return x.sent - y.sent })
 	case LeastReported:
 		return slices.MinFunc(open, func(x, y *peer) int { return int(1000 * (x.reported - y.reported)) })
 	}
@@ -261,7 +274,7 @@
 	if pl.cost(second, ask, now) < pl.cost(best, ask, now) {
 		best = second
 	}
-	if ask.Prefix == 0 || pl.plain == NoPrefix {
+	if ask.Prefix == 0 || pl.policy == NoPrefix {
 		return best
 	}
 	for _, pr := range open {
@@ -272,45 +285,47 @@
 	return best
 }
 
-// cost estimates the wait at an endpoint, in relative units: what is ahead of
-// the request times how slowly the endpoint works.
+// cost estimates the delay at an endpoint in relative units: the load including this
+// request, times the latency.
 func (pl *Pool) cost(pr *peer, ask Ask, now clock.Milli) float64 {
 	load := float64(pr.inFlight)
-	if pl.plain == Reports {
-		load += pr.others(now)
+	if pl.policy == Reports {
+		load += pr.otherLoad(now)
 	}
 	if pr.ep.Zone != pl.zone {
-		load += farPenalty
+		load += remotePenalty
 	}
 	cost := (load + 1) * max(pr.latency, 1)
-	if ask.Prefix != 0 && pr.warm(ask.Prefix) && pl.plain != NoPrefix {
+	if ask.Prefix != 0 && pr.warm(ask.Prefix) && pl.policy != NoPrefix {
 		cost *= 1 - warmSaving
 	}
 	return cost
 }
 
-// others estimates the work that other instances have there: the report less
-// our own part, counting less as it ages.
-func (pr *peer) others(now clock.Milli) float64 {
+// otherLoad estimates the load by other instances: the reported load less that of this
+// instance, with a weight that falls with the age of the report.
+func (pr *peer) otherLoad(now clock.Milli) float64 {
 	if pr.reportAt == 0 {
 		return 0
 	}
 	age := float64(now - pr.reportAt)
-	return pr.reported * reportHalf / (reportHalf + max(age, 0))
+	return pr.reported * reportHalfAge / (reportHalfAge + max(age, 0))
 }
 
+// warm reports whether the endpoint probably caches a prefix.
 func (pr *peer) warm(prefix uint64) bool {
 	_, ok := pr.prefixes[prefix]
 	return ok
 }
 
+// remember records a prefix as cached and drops the oldest one beyond the bound.
 func (pr *peer) remember(prefix uint64) {
 	if pr.warm(prefix) {
 		return
 	}
 	pr.prefixes[prefix] = struct{}{}
 	pr.recent = append(pr.recent, prefix)
-	if len(pr.recent) > prefixMemory {
+	if len(pr.recent) > maxPrefixes {
 		delete(pr.prefixes, pr.recent[0])
 		pr.recent = slices.Clone(pr.recent[1:])
 	}
--- a/pkg/route/route_test.go
+++ b/pkg/route/route_test.go
@@ -28,9 +28,8 @@
 	return eps
 }
 
-// TestLeavingGetsNothing: whatever is learned in whatever order, an endpoint
-// that said it is leaving is never picked again, also when the lagging list
-// still shows it as live.
+// TestLeavingGetsNothing guards against selecting an endpoint that is leaving, for any
+// order of events, also when the lagging list still shows it as live.
 func TestLeavingGetsNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pl := New("dc1", rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
@@ -65,19 +64,19 @@
 			}
 		}
 		if pl.InFlight() != len(busy) {
-			t.Fatalf("%d under way, %d counted", len(busy), pl.InFlight())
+			t.Fatalf("%d requests in flight, %d counted", len(busy), pl.InFlight())
 		}
 	})
 }
 
-// TestSlowIsBenchedAndFoundAgain: one of four endpoints turns ten times slower.
-// It soon gets next to nothing, is probed one request at a time, and has its
-// share again after it is well.
-func TestSlowIsBenchedAndFoundAgain(t *testing.T) {
+// TestSlowEndpointIsEjectedAndRecovers: one of four endpoints becomes ten times slower.
+// It soon gets no requests but single probes, and gets its share again after its
+// recovery.
+func TestSlowEndpointIsEjectedAndRecovers(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	pl := pool(4)
 	now := clock.Milli(1000)
-	serve := func(n int, slow clock.Milli) (slowly int) {
+	serve := func(n int, slow clock.Milli) (slowCount int) {
 		for range n {
 			now += 20
 			ep, ok := pl.Pick(Ask{}, now)
@@ -85,11 +84,11 @@
 			took := clock.Milli(50)
 			if ep.ID == "e0" {
 				took = slow
-				slowly++
+				slowCount++
 			}
 			pl.Finish(ep.ID, Good, took, now)
 		}
-		return slowly
+		return slowCount
 	}
 	gom.Expect(serve(200, 50)).To(gomega.BeNumerically(">", 20))
 	gom.Expect(serve(500, 500)).To(gomega.BeNumerically("<", 20))
@@ -97,10 +96,10 @@
 	gom.Expect(serve(200, 50)).To(gomega.BeNumerically(">", 20))
 }
 
-// TestEntriesSpread: a thousand callers ask in one moment. They are not all told
-// the instance that looks best, none is told one instance only, and the last
-// choice is in another data centre.
-func TestEntriesSpread(t *testing.T) {
+// TestEntriesSpreadCallers guards against directing 1000 simultaneous callers to the
+// instance with the lowest load. Each gets three instances, the last one in another
+// data centre.
+func TestEntriesSpreadCallers(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	rng := rand.New(rand.NewPCG(1, 2))
 	cands := []Entry{{"a", "dc1", "", 0}, {"b", "dc1", "", 40}, {"c", "dc1", "", 41}, {"d", "dc2", "", 3}}
--- a/pkg/route/slope_test.go
+++ b/pkg/route/slope_test.go
@@ -7,7 +7,7 @@
 	"amaranthvalve/internal/golden"
 )
 
-// TestSlopes measures what an endpoint costs.
+// TestSlopes measures the memory per endpoint.
 func TestSlopes(t *testing.T) {
 	golden.Measuring(t)
 	for _, n := range []int{31, 1000, 12000} {
