--- a/pkg/plan/doc.go
+++ b/pkg/plan/doc.go
@@ -1,16 +1,16 @@
-// Package plan holds what callers may ask for at one instant: routes, pools,
+// Package plan holds the configuration that requests are served by: routes, pools,
 // workspaces and limits, compiled from one version of the operators' documents.
 //
 // # Concepts
 //
-// A [Draft] is what a dialect decodes. [Compile] checks it and gives a [Plan],
-// which is never changed afterwards: a request takes the plan once and sees one
-// version from its match to its answer, however many versions come meanwhile.
-// Faults are collected, each with its place; a part that can't be served (a route
-// to a pool that is not named, say) is left out and the rest holds, so that one
-// bad line doesn't take every other route out of force.
+// A [Draft] is the document as a dialect decoded it. [Compile] validates it and
+// returns a [Plan], which is immutable: a request loads the plan once and uses the
+// same version from the match to the answer, whatever versions follow. All errors are
+// returned, each with its position. An invalid part (for example a route to an unknown
+// pool) is left out and the rest is used, so that one mistake doesn't disable all
+// other routes.
 //
-// A route's stages form a graph; package graph tells when they begin.
+// The stages of a route form a graph; package graph schedules them.
 //
-// The package decides nothing about endpoints and knows no wire format.
+// The package is independent of endpoints and of wire formats.
 package plan
--- a/pkg/plan/draft.go
+++ b/pkg/plan/draft.go
@@ -11,10 +11,10 @@
 	"amaranthvalve/pkg/graph"
 )
 
-// Error is the class of a draft's faults.
+// Error is the class of the errors in a draft.
 var Error = errs.Class("plan")
 
-// Draft is a document as a dialect decoded it.
+// Draft is a decoded document before validation.
 type Draft struct {
 	Version    int64
 	Routes     []DraftRoute
@@ -23,14 +23,15 @@
 	Limits     Limits
 }
 
-// DraftRoute is a route as it was written.
+// DraftRoute is a route of a draft.
 type DraftRoute struct {
 	Name   string
 	Host   string
 	Prefix string
 	// Kind is the name of a [Kind].
-	Kind      string
-	Timeout   clock.Milli
+	Kind    string
+	Timeout clock.Milli
+	// Goal is the target latency, Gap the maximum gap between events of a stream.
 	Goal      clock.Milli
 	Gap       clock.Milli
 	Priority  int
@@ -41,65 +42,68 @@
 	Resumable bool
 }
 
-// DraftTarget is a pool that a part of a route's requests goes to.
+// DraftTarget is a pool that gets a weighted share of a route's requests.
 type DraftTarget struct {
 	Pool   string
 	Weight float64
 }
 
-// DraftStage is work to be done before the final call.
+// DraftStage is a processing stage before the final call.
 type DraftStage struct {
 	Pool string
-	// After lists the stages whose results it takes; each stands before it.
+	// After lists the indices of the stages whose results are inputs of this one; they
+	// precede it.
 	After []int
-	// Bytes is the rough size of one result.
+	// Bytes is the approximate size of one result.
 	Bytes int64
 }
 
-// DraftPool is a pool as it was written.
+// DraftPool is a pool of a draft.
 type DraftPool struct {
 	Name   string
 	Batch  *DraftBatch
 	Engine *DraftEngine
 }
 
-// DraftBatch tells how one endpoint takes pieces of stages.
+// DraftBatch describes how an endpoint of a pool processes batches of stage items.
 type DraftBatch struct {
-	// Places is how many calls are worked on at once, Queue how many may wait.
+	// Places is the number of batches processed concurrently, Queue that of batches
+	// that may be queued.
 	Places int
 	Queue  int
-	// Most is the number of pieces in a call.
+	// Most is the maximum number of items in a batch.
 	Most int
-	// Call is the time of a call, Item what each piece adds, in milliseconds.
+	// Call is the fixed time of a batch, Item the additional time of each item, in
+	// milliseconds.
 	Call float64
 	Item float64
-	// Room is what an endpoint can hold of results, in bytes.
+	// Room is the capacity of an endpoint for results, in bytes.
 	Room int64
-	// Keep is how long a result is held that nobody gives back.
+	// Keep is the TTL of a result that is not released.
 	Keep clock.Milli
-	// Link is how fast results are fetched, in Mbit/s; zero if it isn't known.
+	// Link is the bandwidth for fetching results in Mbit/s; zero if unknown.
 	Link float64
 }
 
-// DraftEngine tells what a model engine can do.
+// DraftEngine describes the capabilities of a model engine.
 type DraftEngine struct {
-	// Places is how many requests run at once.
+	// Places is the number of requests that run concurrently.
 	Places int
-	// Memory is what running requests and cached prompts share, in tokens.
+	// Memory is the capacity in tokens shared by running requests and cached prompts.
 	Memory int
-	// Fetches tells that an engine can fetch parts of prompts from others.
+	// Fetches is set if an engine can fetch cached parts of prompts from others.
 	Fetches bool
 }
 
-// DraftWorkspace is a customer as it was written.
+// DraftWorkspace is a workspace of a draft.
 type DraftWorkspace struct {
 	Name     string
 	Tokens   []string
 	Priority *int
 }
 
-// Compile checks a draft and makes the plan. Faulty parts are left out, and each
-// fault is told; the plan is nil only if nothing of the draft can be used.
+// Compile validates a draft and returns the plan and all errors. Invalid parts are left
+// out; the plan is nil if the draft has routes and none of them is valid.
 func Compile(drf Draft) (*Plan, []error) {
 	pln := &Plan{
 		version: drf.Version, limits: drf.Limits, hosts: map[string][]*Route{},
@@ -111,10 +115,10 @@
 			fts = append(fts, Error.New("services[%d] %q: %v", i, pol.Name, err))
 			continue
 		}
-		pln.pools[pol.Name] = &Pool{raw: pol}
+		pln.pools[pol.Name] = &Pool{draft: pol}
 	}
 	for i, raw := range drf.Routes {
-		rte, err := pln.route(raw)
+		rte, err := pln.compileRoute(raw)
 		if err != nil {
 			fts = append(fts, Error.New("routes[%d] %q: %v", i, raw.Name, err))
 			continue
@@ -123,30 +127,31 @@
 		pln.hosts[raw.Host] = append(pln.hosts[raw.Host], rte)
 	}
 	for _, list := range pln.hosts {
-		slices.SortStableFunc(list, func(x, y *Route) int { return len(y.raw.Prefix) - len(x.raw.Prefix) })
+		slices.SortStableFunc(list, func(x, y *Route) int { return len(y.draft.Prefix) - len(x.draft.Prefix) })
 	}
-	fts = append(fts, pln.workspaces(drf.Workspaces)...)
-	pln.rank()
+	fts = append(fts, pln.addWorkspaces(drf.Workspaces)...)
+	pln.collectUrgencies()
 	if len(pln.routes) == 0 && len(drf.Routes) > 0 {
 		return nil, fts
 	}
 	return pln, fts
 }
 
-func (pln *Plan) workspaces(list []DraftWorkspace) []error {
+// addWorkspaces adds the addWorkspaces by token and returns the errors.
+func (pln *Plan) addWorkspaces(list []DraftWorkspace) []error {
 	var fts []error
 	for i, raw := range list {
 		if raw.Name == "" {
-			fts = append(fts, Error.New("workspaces[%d]: it has no name", i))
+			fts = append(fts, Error.New("workspaces[%d]: name is missing", i))
 			continue
 		}
 		wsp := &Workspace{name: raw.Name}
 		if raw.Priority != nil {
-			wsp.priority, wsp.ranked = *raw.Priority, true
+			wsp.priority, wsp.hasPriority = *raw.Priority, true
 		}
 		for _, tkn := range raw.Tokens {
 			if other, ok := pln.tokens[tkn]; ok && other.name != raw.Name {
-				fts = append(fts, Error.New("workspaces[%d] %q: a token of it is also one of %q", i, raw.Name, other.name))
+				fts = append(fts, Error.New("workspaces[%d] %q: token already belongs to workspace %q", i, raw.Name, other.name))
 				continue
 			}
 			pln.tokens[tkn] = wsp
@@ -158,37 +163,38 @@
 func checkPool(pol DraftPool) error {
 	switch {
 	case pol.Name == "":
-		return fmt.Errorf("it has no name")
+		return fmt.Errorf("name is missing")
 	case pol.Batch != nil && (pol.Batch.Most < 1 || pol.Batch.Places < 1):
-		return fmt.Errorf("its endpoints take no pieces: batch %d, places %d", pol.Batch.Most, pol.Batch.Places)
+		return fmt.Errorf("batch size %d and slots %d must be at least 1", pol.Batch.Most, pol.Batch.Places)
 	case pol.Batch != nil && (pol.Batch.Call < 0 || pol.Batch.Item < 0 || pol.Batch.Room < 0):
-		return fmt.Errorf("a time or size of its calls is below 0")
+		return fmt.Errorf("time per batch %g ms, time per item %g ms and result capacity %d bytes must not be below 0", pol.Batch.Call, pol.Batch.Item, pol.Batch.Room)
 	}
 	return nil
 }
 
-func (pln *Plan) route(raw DraftRoute) (*Route, error) {
+// compileRoute validates a compileRoute.
+func (pln *Plan) compileRoute(raw DraftRoute) (*Route, error) {
 	kind, err := parseKind(raw.Kind)
 	if err != nil {
 		return nil, err
 	}
 	if !strings.HasPrefix(raw.Prefix, "/") || !strings.HasSuffix(raw.Prefix, "/") {
-		return nil, fmt.Errorf("path prefix %q doesn't begin and end with a slash", raw.Prefix)
+		return nil, fmt.Errorf("path prefix %q must begin and end with a slash", raw.Prefix)
 	}
 	if raw.Host == "" {
-		return nil, fmt.Errorf("it has no host")
+		return nil, fmt.Errorf("host is missing")
 	}
 	if raw.Timeout < 0 || raw.Goal < 0 || raw.Gap < 0 {
-		return nil, fmt.Errorf("a time is below 0")
+		return nil, fmt.Errorf("timeout %d ms, target latency %d ms and event gap %d ms must not be below 0", raw.Timeout, raw.Goal, raw.Gap)
 	}
 	if err := pln.checkTargets(raw.Targets); err != nil {
 		return nil, err
 	}
-	gr, err := pln.stages(raw.Stages)
+	gr, err := pln.compileStages(raw.Stages)
 	if err != nil {
 		return nil, err
 	}
-	return &Route{raw: raw, kind: kind, graph: gr}, nil
+	return &Route{draft: raw, kind: kind, graph: gr}, nil
 }
 
 func parseKind(name string) (Kind, error) {
@@ -202,31 +208,31 @@
 
 func (pln *Plan) checkTargets(list []DraftTarget) error {
 	if len(list) == 0 {
-		return fmt.Errorf("it goes to no pool")
+		return fmt.Errorf("target pools are missing")
 	}
 	sum := 0.0
 	for _, tgt := range list {
 		if _, ok := pln.pools[tgt.Pool]; !ok {
-			return fmt.Errorf("it goes to pool %q, which is not named", tgt.Pool)
+			return fmt.Errorf("target pool %q is not defined", tgt.Pool)
 		}
 		if tgt.Weight < 0 {
-			return fmt.Errorf("the weight of pool %q is below 0", tgt.Pool)
+			return fmt.Errorf("weight %g of target pool %q is below 0", tgt.Weight, tgt.Pool)
 		}
 		sum += tgt.Weight
 	}
 	if sum <= 0 {
-		return fmt.Errorf("the weights of its pools sum up to 0")
+		return fmt.Errorf("weights of target pools sum to 0")
 	}
 	return nil
 }
 
-// stages checks a route's stages and gives their graph.
-func (pln *Plan) stages(list []DraftStage) (graph.Graph, error) {
+// compileStages validates the compileStages of a route and returns their graph.
+func (pln *Plan) compileStages(list []DraftStage) (graph.Graph, error) {
 	after := make([][]int, len(list))
 	for i, stg := range list {
 		pol, ok := pln.pools[stg.Pool]
-		if !ok || pol.raw.Batch == nil {
-			return graph.Graph{}, fmt.Errorf("stages[%d]: pool %q takes no pieces", i, stg.Pool)
+		if !ok || pol.draft.Batch == nil {
+			return graph.Graph{}, fmt.Errorf("stages[%d]: pool %q is not defined or has no batch settings", i, stg.Pool)
 		}
 		after[i] = stg.After
 	}
--- a/pkg/plan/plan.go
+++ b/pkg/plan/plan.go
@@ -9,17 +9,17 @@
 
 //go:generate go tool stringer -type=Kind -linecomment -output=kind_string.go
 
-// Kind tells what may be done with a route's requests.
+// Kind is the kind of a route. It determines how its requests may be retried.
 type Kind int
 
-// The kinds of route.
+// Kinds of routes.
 const (
 	Idempotent    Kind = iota // idempotent
 	NonIdempotent             // non_idempotent
 	Streaming                 // streaming
 )
 
-// Plan is one version of what is in force. The zero value matches nothing.
+// Plan is one version of the active configuration. The zero value matches no request.
 type Plan struct {
 	version int64
 	hosts   map[string][]*Route
@@ -27,145 +27,145 @@
 	pools   map[string]*Pool
 	tokens  map[string]*Workspace
 	limits  Limits
-	// urgencies are those that requests can have, the most urgent first.
+	// urgencies are the distinct urgencies of requests, the most urgent first.
 	urgencies []urgency
 }
 
-// Version gives the document's own number, for logs.
+// Version returns the version number in the document, for logs.
 func (pln *Plan) Version() int64 { return pln.version }
 
-// Limits gives what callers may send.
+// Limits returns the limits on requests from callers.
 func (pln *Plan) Limits() Limits { return pln.limits }
 
-// Routes gives all routes in the document's order.
+// Routes returns all routes in the order of the document.
 func (pln *Plan) Routes() []*Route { return pln.routes }
 
-// Match finds the route with the longest prefix of a path among a host's.
+// Match returns the route of a host with the longest prefix that matches a path.
 func (pln *Plan) Match(host, path string) (*Route, bool) {
 	for _, rte := range pln.hosts[host] {
-		if strings.HasPrefix(path, rte.raw.Prefix) {
+		if strings.HasPrefix(path, rte.draft.Prefix) {
 			return rte, true
 		}
 	}
 	return nil, false
 }
 
-// Pool finds a pool by name.
+// Pool returns a pool by its name.
 func (pln *Plan) Pool(name string) (*Pool, bool) {
 	pol, ok := pln.pools[name]
 	return pol, ok
 }
 
-// Pools gives all pools by name.
+// Pools returns all pools by name.
 func (pln *Plan) Pools() map[string]*Pool { return pln.pools }
 
-// Named tells whether callers must name their workspace by a token.
+// Named reports whether callers must authenticate their workspace with a token.
 func (pln *Plan) Named() bool { return len(pln.tokens) > 0 }
 
-// Workspace finds the workspace that holds a token.
+// Workspace returns the workspace that a token belongs to.
 func (pln *Plan) Workspace(token string) (*Workspace, bool) {
 	wsp, ok := pln.tokens[token]
 	return wsp, ok
 }
 
-// Limits bound what callers may send.
+// Limits bound the requests and connections of callers.
 type Limits struct {
-	// HeaderBytes and BodyBytes bound a request; zero stands for no bound of
-	// the document's.
+	// HeaderBytes and BodyBytes bound the size of a request; zero if the document
+	// sets no bound.
 	HeaderBytes int
 	BodyBytes   int64
-	// HeaderTime bounds how long a header may take, IdleTime how long a
-	// connection may stay idle.
+	// HeaderTime bounds the time to receive a header, IdleTime the time that a
+	// connection may be idle.
 	HeaderTime clock.Milli
 	IdleTime   clock.Milli
 }
 
-// Workspace is a customer that may call.
+// Workspace is a workspace that may send requests.
 type Workspace struct {
-	name     string
-	priority int
-	ranked   bool
+	name        string
+	priority    int
+	hasPriority bool
 }
 
-// Name gives the workspace's name.
+// Name returns the name of the workspace.
 func (wsp *Workspace) Name() string { return wsp.name }
 
-// Route is one kind of request: where it goes and what may be done with it.
+// Route describes the requests of one host and path prefix: their target pools, stages
+// and deadlines, and how they may be retried.
 type Route struct {
-	raw   DraftRoute
+	draft DraftRoute
 	kind  Kind
 	graph graph.Graph
 }
 
-// Name gives the route's name.
-func (rte *Route) Name() string { return rte.raw.Name }
+// Name returns the name of the route.
+func (rte *Route) Name() string { return rte.draft.Name }
 
-// Kind gives the route's kind.
+// Kind returns the kind of the route.
 func (rte *Route) Kind() Kind { return rte.kind }
 
-// Repeatable tells whether a request may run a second time: what is idempotent,
-// and a stream that goes on where the one before it broke off.
+// Repeatable reports whether a request may run a second time: idempotent requests and
+// streams that resume where the previous attempt broke off.
 func (rte *Route) Repeatable() bool {
 	return rte.kind == Idempotent || rte.Resumable()
 }
 
-// Resumable tells whether a broken stream may go on at another endpoint.
-func (rte *Route) Resumable() bool { return rte.kind == Streaming && rte.raw.Resumable }
+// Resumable reports whether a broken stream may be resumed at another endpoint.
+func (rte *Route) Resumable() bool { return rte.kind == Streaming && rte.draft.Resumable }
 
-// Streams tells whether answers come as events.
+// Streams reports whether responses are event streams.
 func (rte *Route) Streams() bool { return rte.kind == Streaming }
 
-// Open tells whether callers need no token.
-func (rte *Route) Open() bool { return rte.raw.Open }
+// Open reports whether the route needs no token.
+func (rte *Route) Open() bool { return rte.draft.Open }
 
-// Timeout gives the longest time that a caller is kept waiting, zero for no
-// bound.
-func (rte *Route) Timeout() clock.Milli { return rte.raw.Timeout }
+// Timeout returns the maximum response time, zero for no bound.
+func (rte *Route) Timeout() clock.Milli { return rte.draft.Timeout }
 
-// Goal gives the time within which an answer is of full worth.
-func (rte *Route) Goal() clock.Milli { return rte.raw.Goal }
+// Goal returns the target latency: later answers are worth less to the caller.
+func (rte *Route) Goal() clock.Milli { return rte.draft.Goal }
 
-// Gap gives the longest pause between two events of a stream that is on time.
-func (rte *Route) Gap() clock.Milli { return rte.raw.Gap }
+// Gap returns the maximum gap between two events of a stream that is on time.
+func (rte *Route) Gap() clock.Milli { return rte.draft.Gap }
 
-// Attempts gives how many endpoints one request may be sent to, at least 1.
-func (rte *Route) Attempts() int { return max(rte.raw.Attempts, 1) }
+// Attempts returns the maximum number of endpoints tried for a request, at least 1.
+func (rte *Route) Attempts() int { return max(rte.draft.Attempts, 1) }
 
-// Stages gives the stages that come before the final call.
-func (rte *Route) Stages() []DraftStage { return rte.raw.Stages }
+// Stages returns the stages before the final call.
+func (rte *Route) Stages() []DraftStage { return rte.draft.Stages }
 
-// Graph tells which of the stages take the results of which.
+// Graph returns the dependencies between the stages.
 func (rte *Route) Graph() graph.Graph { return rte.graph }
 
-// Targets gives the pools that the final call may go to, with their weights.
-func (rte *Route) Targets() []DraftTarget { return rte.raw.Targets }
+// Targets returns the pools for the final call with their weights.
+func (rte *Route) Targets() []DraftTarget { return rte.draft.Targets }
 
-// Target draws the pool of the final call; u is drawn evenly from 0 to 1.
+// Target selects the pool for the final call by weight; u is uniform in [0, 1).
 func (rte *Route) Target(u float64) string {
 	sum := 0.0
-	for _, tgt := range rte.raw.Targets {
+	for _, tgt := range rte.draft.Targets {
 		sum += tgt.Weight
 	}
 	u *= sum
-	for _, tgt := range rte.raw.Targets {
+	for _, tgt := range rte.draft.Targets {
 		if u -= tgt.Weight; u < 0 {
 			return tgt.Pool
 		}
 	}
-	return rte.raw.Targets[len(rte.raw.Targets)-1].Pool
+	return rte.draft.Targets[len(rte.draft.Targets)-1].Pool
 }
 
 // Pool is a set of endpoints that do the same work.
 type Pool struct {
-	raw DraftPool
+	draft DraftPool
 }
 
-// Name gives the pool's name.
-func (pol *Pool) Name() string { return pol.raw.Name }
+// Name returns the name of the pool.
+func (pol *Pool) Name() string { return pol.draft.Name }
 
-// Batch gives how the pool's endpoints take pieces of stages; nil if they take
-// none.
-func (pol *Pool) Batch() *DraftBatch { return pol.raw.Batch }
+// Batch returns the batch settings of the pool; nil if its endpoints don't process
+// stage items.
+func (pol *Pool) Batch() *DraftBatch { return pol.draft.Batch }
 
-// Engine gives what the pool's model engines can do; nil for plain services.
-func (pol *Pool) Engine() *DraftEngine { return pol.raw.Engine }
+// Engine returns the capabilities of the pool's model engines; nil for plain services.
+func (pol *Pool) Engine() *DraftEngine { return pol.draft.Engine }
--- a/pkg/plan/plan_test.go
+++ b/pkg/plan/plan_test.go
@@ -47,9 +47,9 @@
 	gom.Expect(rte.Repeatable()).To(gomega.BeTrue())
 }
 
-// TestFaultsAreCollected: each faulty part is told with its place and left out; the
-// rest is in force.
-func TestFaultsAreCollected(t *testing.T) {
+// TestErrorsAreCollected: each invalid part is reported with its position and left out;
+// the rest is used.
+func TestErrorsAreCollected(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	drf := draft()
 	drf.Routes = append(drf.Routes,
@@ -68,13 +68,13 @@
 		texts = append(texts, ft.Error())
 	}
 	gom.Expect(texts).To(gomega.HaveLen(8))
-	for i, part := range []string{`services[3] "empty"`, `kind "sometimes" is not one of`, "begin and end with a slash", `"nobody", which is not named`, `"plain" takes no pieces`, "in a circle", "sum up to 0", `also one of "corella"`} {
+	for i, part := range []string{`services[3] "empty"`, `kind "sometimes" is not one of`, "begin and end with a slash", `"nobody" is not defined`, `"plain" is not defined or has no batch settings`, "in a circle", "sum to 0", `belongs to workspace "corella"`} {
 		gom.Expect(texts[i]).To(gomega.ContainSubstring(part))
 	}
 }
 
-// TestTokensAreExclusive: a token stands under two workspaces. It stays the first
-// one's: whoever comes second must not act in the first one's name.
+// TestTokensAreExclusive: a token listed under two workspaces belongs to the first one,
+// so that the second can't act as the first.
 func TestTokensAreExclusive(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	pln, _ := Compile(draft())
@@ -86,9 +86,9 @@
 	gom.Expect(ok).To(gomega.BeFalse())
 }
 
-// TestRanks: all workspaces have the same priority, as most documents give it. Their
-// requests are ranked by their routes then; a workspace with a better one goes first
-// with all of its requests, and one without is ranked by the route alone.
+// TestRanks guards against equal urgency of all requests if all workspaces have the same
+// priority, as in most documents: they are ranked by route then. All requests of a
+// workspace with a better priority go first.
 func TestRanks(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	same, better := 1, 0
--- a/pkg/plan/ranks.go
+++ b/pkg/plan/ranks.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// urgency orders requests: by the workspace's priority, and among those of equal
-// workspaces by their route's. Where a workspace has none the route's stands in for it.
+// urgency orders requests by the priority of the workspace, then by that of the route.
+// The priority of the route replaces that of a workspace without one.
 //
-// A workspace's priority goes first, but most documents give all workspaces the same.
-// Taken alone it would make all kinds of request equally urgent, and in an overload
-// the drafts that can wait would keep summaries waiting that a caller is waiting for.
+// Most documents give all workspaces the same priority. By that alone all requests would
+// be equally urgent, and in an overload deferrable drafts would delay summaries that a
+// caller is waiting for.
 type urgency struct {
 	workspace int
 	route     int
@@ -21,15 +21,15 @@
 }
 
 func urgencyOf(rte *Route, wsp *Workspace) urgency {
-	urg := urgency{workspace: rte.raw.Priority, route: rte.raw.Priority}
-	if wsp != nil && wsp.ranked {
+	urg := urgency{workspace: rte.draft.Priority, route: rte.draft.Priority}
+	if wsp != nil && wsp.hasPriority {
 		urg.workspace = wsp.priority
 	}
 	return urg
 }
 
-// rank notes the urgencies that requests can have, the most urgent first.
-func (pln *Plan) rank() {
+// collectUrgencies collects the distinct urgencies of requests, the most urgent first.
+func (pln *Plan) collectUrgencies() {
 	for _, rte := range pln.routes {
 		pln.urgencies = append(pln.urgencies, urgencyOf(rte, nil))
 		for _, wsp := range pln.tokens {
@@ -40,8 +40,8 @@
 	pln.urgencies = slices.Compact(pln.urgencies)
 }
 
-// Rank gives how urgent a workspace's requests on a route are among all that the plan
-// allows: 0 first, and one more for each step. The workspace is nil on open routes.
+// Rank returns the position of a workspace's requests on a route in the order of
+// urgency; 0 is the most urgent. The workspace is nil on open routes.
 func (pln *Plan) Rank(rte *Route, wsp *Workspace) int {
 	at, _ := slices.BinarySearchFunc(pln.urgencies, urgencyOf(rte, wsp), urgency.compare)
 	return at
