--- a/pkg/admit/admit.go
+++ b/pkg/admit/admit.go
@@ -43,7 +43,7 @@
 	start float64
 	seq   uint64
 	// ready is called once, when the request leaves the queue other than by [Queue.Leave].
-	ready func(word Word, now clock.Milli)
+	ready func(out Word, now clock.Milli)
 }
 
 // Word is the final outcome of a queued request.
@@ -133,7 +133,7 @@
 
 // Join adds a request to the queue, unless the queue is full or the request can't
 // meet its deadline. ready is called once with the outcome and must not block.
-func (que *Queue) Join(ask Ask, now clock.Milli, ready func(word Word, now clock.Milli)) (*Ticket, JoinResult) {
+func (que *Queue) Join(ask Ask, now clock.Milli, ready func(out Word, now clock.Milli)) (*Ticket, JoinResult) {
 	if len(que.waiting) >= maxQueued && !que.displace(ask, now) {
 		return nil, Full
 	}
--- a/pkg/admit/admit_test.go
+++ b/pkg/admit/admit_test.go
@@ -48,8 +48,8 @@
 		served := map[string]int{}
 		for range 60 {
 			for wsp, share := range shares {
-				_, _ = que.Join(Ask{Workspace: wsp, Share: share, Deadline: clock.Hour}, 1, func(word Word, _ clock.Milli) {
-					if word == Served {
+				_, _ = que.Join(Ask{Workspace: wsp, Share: share, Deadline: clock.Hour}, 1, func(out Word, _ clock.Milli) {
+					if out == Served {
 						served[wsp]++
 					}
 				})
@@ -80,9 +80,9 @@
 					Workspace: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "who"), Share: 1, Priority: rapid.IntRange(0, 2).Draw(t, "priority"),
 					Need: clock.Milli(rapid.IntRange(0, 40).Draw(t, "need")), Deadline: now + clock.Milli(rapid.IntRange(0, 200).Draw(t, "deadline")),
 				}
-				_, ver := que.Join(ask, now, func(word Word, at clock.Milli) {
+				_, ver := que.Join(ask, now, func(out Word, at clock.Milli) {
 					outcomes[i]++
-					if word == Served && at+ask.Need > ask.Deadline {
+					if out == Served && at+ask.Need > ask.Deadline {
 						t.Fatalf("served at %d ms with an estimate of %d ms, deadline %d ms", at, ask.Need, ask.Deadline)
 					}
 				})
@@ -113,8 +113,8 @@
 	var que Queue
 	displaced, served := 0, ""
 	join := func(priority int, name string) JoinResult {
-		_, ver := que.Join(Ask{Workspace: "w", Share: 1, Priority: priority, Deadline: clock.Hour}, 1, func(word Word, _ clock.Milli) {
-			if word == Displaced {
+		_, ver := que.Join(Ask{Workspace: "w", Share: 1, Priority: priority, Deadline: clock.Hour}, 1, func(out Word, _ clock.Milli) {
+			if out == Displaced {
 				displaced++
 			} else if served == "" {
 				served = name
--- a/pkg/admit/gate.go
+++ b/pkg/admit/gate.go
@@ -48,17 +48,17 @@
 
 // Enter requests a slot at an endpoint. If the request has to wait, ready is called
 // once: with Served and the endpoint, or with the reason why there is none.
-func (gt *Gate) Enter(where route.Ask, ask Ask, now clock.Milli, ready func(ep route.Endpoint, word Word)) (route.Endpoint, *Ticket, EnterResult) {
+func (gt *Gate) Enter(where route.Ask, ask Ask, now clock.Milli, ready func(ep route.Endpoint, out Word)) (route.Endpoint, *Ticket, EnterResult) {
 	if gt.rt.Usable() == 0 {
 		return route.Endpoint{}, nil, RefusedEmpty
 	}
 	if gt.que.Len() == 0 {
-		if ep, word := gt.assign(where, Served, now); word == Served {
+		if ep, out := gt.assign(where, Served, now); out == Served {
 			return ep, nil, Granted
 		}
 	}
-	tkt, ver := gt.que.Join(ask, now, func(word Word, at clock.Milli) {
-		ready(gt.assign(where, word, at))
+	tkt, ver := gt.que.Join(ask, now, func(out Word, at clock.Milli) {
+		ready(gt.assign(where, out, at))
 	})
 	switch ver {
 	case Full:
@@ -70,9 +70,9 @@
 }
 
 // assign picks an endpoint for a request that was served and passes on other outcomes.
-func (gt *Gate) assign(where route.Ask, word Word, now clock.Milli) (route.Endpoint, Word) {
-	if word != Served {
-		return route.Endpoint{}, word
+func (gt *Gate) assign(where route.Ask, out Word, now clock.Milli) (route.Endpoint, Word) {
+	if out != Served {
+		return route.Endpoint{}, out
 	}
 	ep, ok := gt.rt.Pick(where, now)
 	if !ok && len(where.Avoid) > 0 {
--- a/pkg/limit/rates.go
+++ b/pkg/limit/rates.go
@@ -7,9 +7,9 @@
 const minRate = 0.25
 
 const (
-	// takeoverPeriod is the time for which a new coordinator may use only takeoverShare of the rates. The
-	// previous one may not know of the change yet, and the two together must stay within 1.5
-	// times the rate.
+	// takeoverPeriod is the time for which a new coordinator may use only takeoverShare of the
+	// rates. The previous one may not know of the change yet, and the two together must stay
+	// within 1.5 times the rate.
 	takeoverPeriod = 5 * clock.Second
 	takeoverShare  = 0.5
 )
--- a/pkg/plan/draft.go
+++ b/pkg/plan/draft.go
@@ -137,7 +137,7 @@
 	return pln, fts
 }
 
-// addWorkspaces adds the addWorkspaces by token and returns the errors.
+// addWorkspaces adds the workspaces by token and returns the errors.
 func (pln *Plan) addWorkspaces(list []DraftWorkspace) []error {
 	var fts []error
 	for i, raw := range list {
@@ -172,7 +172,7 @@
 	return nil
 }
 
-// compileRoute validates a compileRoute.
+// compileRoute validates a route.
 func (pln *Plan) compileRoute(raw DraftRoute) (*Route, error) {
 	kind, err := parseKind(raw.Kind)
 	if err != nil {
@@ -226,7 +226,7 @@
 	return nil
 }
 
-// compileStages validates the compileStages of a route and returns their graph.
+// compileStages validates the stages of a route and returns their graph.
 func (pln *Plan) compileStages(list []DraftStage) (graph.Graph, error) {
 	after := make([][]int, len(list))
 	for i, stg := range list {
--- a/pkg/route/pool.go
+++ b/pkg/route/pool.go
@@ -77,7 +77,7 @@
 	peers []*peer
 	byID  map[string]*peer
 	rng   *rand.Rand
-	// policy selects a baseline policy for measurements.
+	// policy is the selection policy; all but Full are baselines for measurements.
 	policy Baseline
 }
 
