--- /dev/null
+++ b/internal/front/crash.go
@@ -0,0 +1,99 @@
+package front
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"strings"
+
+	"amaranthvalve/internal/chain"
+	"amaranthvalve/internal/homes"
+	"amaranthvalve/internal/relay"
+	"amaranthvalve/pkg/ident"
+	"amaranthvalve/pkg/outcm"
+	"amaranthvalve/pkg/poison"
+)
+
+// maxListedCrashes bounds the endpoints that a refusal names.
+const maxListedCrashes = 4
+
+// fingerprint identifies the request by the parts that stay the same when its caller sends it
+// again.
+func (cl *call) fingerprint() poison.Mark {
+	cl.fprintOnce.Do(func() { cl.fprint = poison.MarkOf(cl.http.Host, cl.http.RequestURI, cl.wsp, cl.req.Body) })
+	return cl.fprint
+}
+
+// checkCrash probes an endpoint that has cut the connection of an attempt. If the endpoint has
+// crashed, and not only closed the connection, the request is recorded as a suspect at all
+// instances.
+func (fr *Front) checkCrash(cl *call, tgt homes.Seat) {
+	mrk, leaving := cl.fingerprint(), fr.set.Control.View().IsLeaving(tgt.ID)
+	go func() {
+		ended := relay.Ended(context.Background(), tgt.Addr)
+		switch counts := ended && !leaving; {
+		case counts && !cl.trial:
+			fr.set.Control.EndedUnder(mrk, tgt.ID)
+		case !counts && cl.trial:
+			fr.set.Control.CancelTrial(mrk, cl.attemptName())
+		}
+		fr.set.Log.Info().Str("request", cl.ask.ID).Stringer("mark", mrk).Str("workspace", cl.wsp).Str("pool", cl.pool.Name()).
+			Str("endpoint", string(tgt.ID)).Bool("ended", ended).Bool("leaving", leaving).Msg("connection cut by endpoint")
+	}()
+}
+
+// crashesUnder returns the crashes of endpoints recorded for a request.
+func (fr *Front) crashesUnder(cl *call) []poison.End {
+	sus := fr.set.Control.View().Suspects()
+	if sus.Empty() {
+		return nil
+	}
+	return sus.Ends(cl.fingerprint())
+}
+
+// clearSuspicion clears a request that an endpoint has run to completion. A failure status proves
+// nothing, since the endpoint may have failed before it began. Neither does a response that is
+// delimited by the end of its connection: a crash of the endpoint ends it in the same way.
+func (fr *Front) clearSuspicion(cl *call, rsp *relay.Response) {
+	if rsp.Framed && rsp.Status < http.StatusInternalServerError && len(fr.crashesUnder(cl)) > 0 {
+		fr.set.Control.RanWhole(cl.fingerprint())
+	}
+}
+
+// quarantine refuses requests under which several endpoints have crashed: the next endpoint would
+// crash too, and with it the requests of others that run there.
+func (fr *Front) quarantine(ctx context.Context, cl *call, nxt chain.Next[*call]) outcm.Result {
+	sus := fr.set.Control.View().Suspects()
+	switch {
+	case sus.Empty() || !sus.OnTrial(cl.fingerprint()):
+		return nxt(ctx, cl)
+	case fr.isQuarantined(cl) || !fr.set.Control.BeginTrial(cl.fingerprint(), cl.attemptName()):
+		return fr.refuseQuarantined(cl)
+	}
+	cl.trial = true
+	res := nxt(ctx, cl)
+	if res.IsRefusal() {
+		fr.set.Control.CancelTrial(cl.fingerprint(), cl.attemptName())
+	}
+	return res
+}
+
+// attemptName identifies this attempt of the caller where an endpoint's name is expected.
+func (cl *call) attemptName() ident.Process { return ident.Process("attempt " + cl.ask.ID) }
+
+func (fr *Front) isQuarantined(cl *call) bool {
+	sus := fr.set.Control.View().Suspects()
+	return !cl.trial && !sus.Empty() && sus.Quarantined(cl.fingerprint(), fr.set.Clock.Now()) > 0
+}
+
+// refuseQuarantined returns the refusal of a quarantined request. It carries no retry-after delay:
+// the same request would be refused again.
+func (fr *Front) refuseQuarantined(cl *call) outcm.Result {
+	now := fr.set.Clock.Now()
+	ends := fr.crashesUnder(cl)
+	var listed []string
+	for _, end := range ends[max(len(ends)-maxListedCrashes, 0):] {
+		listed = append(listed, fmt.Sprintf("%s %.1f s ago, reported by %s", end.Endpoint, (now-end.At).Seconds(), end.By))
+	}
+	return outcm.New(outcm.NotRun, outcm.Quarantined, fmt.Sprintf("%d endpoints crashed under this request: %s", len(ends), strings.Join(listed, "; ")))
+}
--- a/internal/front/doc.go
+++ b/internal/front/doc.go
@@ -1,24 +1,24 @@
-// Package front takes callers' requests through the filters and hands the answers
-// back as they come.
+// Package front passes callers' requests through a chain of filters and streams the responses
+// back.
 //
 // A request passes, in this order:
 //
-//	match       the route, by host and path; the limits of what may be sent
-//	stay        refused during a planned stop that ends before the answer would
-//	identify    the workspace, by its token, unless the route is open
-//	quarantine  refused when several endpoints have ended under the same request
-//	admit       refused at once when it can't be answered in time
-//	stages      the pieces that must be made before it can run, wave by wave
-//	final       the endpoint that answers, and another one where that is allowed
+//	match       finds the route by host and path; enforces the size limits
+//	drain       refuses, during a planned shutdown, what may outlast it
+//	identify    finds the workspace by its token, unless the route is open
+//	quarantine  refuses requests under which several endpoints have crashed
+//	admit       refuses at once what can't be answered in time
+//	stages      runs the stages whose results the final call takes, as their dependencies allow
+//	final       sends the request to an endpoint, and to another one where that is allowed
 //
-// A filter either gives a result itself, and then nothing behind it sees the
-// request, or calls the next one. The plan is taken once, so that one request sees
-// one version of the documents; what must be newest at the moment of sending, the
-// endpoints, is asked for then.
+// A filter either returns a result itself, and the filters behind it don't see the request, or
+// calls the next one. A request takes its view of the documents once, so that it sees one version
+// of them throughout. The list of endpoints must be current when the request is sent, and is read
+// then.
 //
 // # Refusals
 //
-// "Not run" speaks of the caller's request at the endpoint that answers it. Pieces
-// that were made for it beforehand have no effect on anybody. Once the final call
-// was written to a connection, "not run" needs the endpoint's own word.
+// "Not run" refers to the caller's request at the endpoint that answers it. The items of its
+// stages, which are made beforehand, have no side effects. Once the final call has been written to
+// a connection, "not run" needs the endpoint's own confirmation.
 package front
--- a/internal/front/final.go
+++ b/internal/front/final.go
@@ -19,110 +19,111 @@
 )
 
 const (
-	// refusalsMore is how many endpoints beyond the route's attempts may be asked
-	// after one gave its word that it ran nothing.
-	refusalsMore = 2
-	// waitShare of the goal is how long a full pool is waited for: longer, and a
-	// refusal now is worth more to the caller than one later.
-	waitShare = 8
-	// waitStep is how often a full pool is looked at.
-	waitStep = 5 * time.Millisecond
-	// fetchFor is how long after a request was written its engine has to fetch what
-	// it takes: it does so at its next step, some milliseconds later, and the largest
-	// results take a few more on their way. Held until the first event, they took room that
-	// other pieces waited for.
-	fetchFor = 60 * time.Millisecond
-	// keptWhole bounds an answer that is read whole before it is handed on, in
+	// extraAttempts is the number of endpoints beyond the route's attempts that may be tried
+	// after an endpoint confirmed that it ran nothing.
+	extraAttempts = 2
+	// slotWaitDivisor divides the target latency into the longest wait for a slot at a full
+	// pool: beyond it, an immediate refusal is worth more to the caller than a late one.
+	slotWaitDivisor = 8
+	// slotPollInterval is the interval at which a full pool is polled for a free slot.
+	slotPollInterval = 5 * time.Millisecond
+	// fetchGrace is the time that an engine has to fetch a request's inputs after the request
+	// was written: it fetches them at its next step, some milliseconds later, and the largest
+	// results take a few more to transfer. Inputs that were held until the first event took the
+	// result storage that other items waited for.
+	fetchGrace = 60 * time.Millisecond
+	// maxBufferedBody bounds a response that is read completely before it is forwarded, in
 	// bytes.
-	keptWhole = 1 << 20
+	maxBufferedBody = 1 << 20
 )
 
-// final sends the request to an endpoint, and to another one where nothing ran or
-// the route allows a repeat.
+// final sends the request to an endpoint, and to another one where nothing ran or the route
+// allows a repeat.
 func (fr *Front) final(ctx context.Context, cl *call) outcm.Result {
-	if !fr.stillAllowed(cl) {
-		return notHonoured()
+	if !fr.tokenValid(cl) {
+		return refuseUnconfirmed()
 	}
 	if fr.isQuarantined(cl) {
-		return fr.quarantined(cl)
+		return fr.refuseQuarantined(cl)
 	}
 	fr.pools.Sent(cl.pool.Name())
-	run := &running{fr: fr, cl: cl, after: cl.ask.After}
+	run := &finalRun{fr: fr, cl: cl, lastEvent: cl.ask.After}
 	if !cl.route.Resumable() {
-		run.after = ""
+		run.lastEvent = ""
 	}
-	defer run.giveUpNext()
+	defer run.releaseNext()
 	for {
-		tgt, res := run.place(ctx)
+		tgt, res := run.findPlacement(ctx)
 		if res.Outcome() != outcm.Pending {
-			return run.last(res)
+			return run.finalResult(res)
 		}
 		res, again := run.attempt(ctx, tgt)
 		switch {
 		case again:
-			run.failed = res
-		case run.kept != nil && res.Outcome() != outcm.Done && !cl.out.begun:
-			// The kept answer of an endpoint tells the caller more than a failure of ours.
-			return run.last(res)
+			run.prev = res
+		case run.fallback != nil && res.Outcome() != outcm.Done && !cl.out.headSent:
+			// A buffered response of an endpoint tells the caller more than a failure of our own.
+			return run.finalResult(res)
 		default:
 			return res
 		}
 	}
 }
 
-// running is a final call on its way through its attempts.
-type running struct {
+// finalRun is a final call with its attempts so far.
+type finalRun struct {
 	fr    *Front
 	cl    *call
 	avoid []string
-	// ran is how many endpoints may have run it, refused how many gave their
-	// word that they didn't.
-	ran     int
-	refused int
-	// paid tells that the attempt was ended for its time, and the next one paid for; next is
-	// where that one goes.
-	paid bool
-	next *homes.Seat
-	// after is the last event that the caller has of a stream.
-	after string
-	// failed is what the attempt before ended with; kept is a whole failure of
-	// an endpoint's that is handed on if no other one does better.
-	failed outcm.Result
-	kept   *kept
+	// mayHaveRun counts the endpoints that may have run the request, notRun those that confirmed
+	// that they didn't.
+	mayHaveRun int
+	notRun     int
+	// repeatPaid is set when the attempt was canceled for being slow and the next one is paid for
+	// from the retry budget; nextPlacement is where that one goes.
+	repeatPaid    bool
+	nextPlacement *homes.Seat
+	// lastEvent is the ID of the last stream event that the caller has received.
+	lastEvent string
+	// prev is the result of the previous attempt; fallback is a complete failure response of an
+	// endpoint, which is forwarded if no other endpoint does better.
+	prev     outcm.Result
+	fallback *bufferedAnswer
 }
 
-// kept is an endpoint's answer that was read whole.
-type kept struct {
+// bufferedAnswer is an endpoint's response that was read completely.
+type bufferedAnswer struct {
 	rsp  *relay.Response
 	body []byte
 }
 
-// place finds an endpoint; a full pool is waited for a moment.
-func (run *running) place(ctx context.Context) (homes.Seat, outcm.Result) {
+// findPlacement places the attempt at an endpoint; at a full pool it polls for a free slot for a
+// bounded time.
+func (run *finalRun) findPlacement(ctx context.Context) (homes.Seat, outcm.Result) {
 	fr, cl := run.fr, run.cl
-	if next := run.next; next != nil {
-		run.next = nil
+	if next := run.nextPlacement; next != nil {
+		run.nextPlacement = nil
 		return *next, outcm.Result{}
 	}
-	until := fr.set.Clock.Now() + max(cl.due-cl.arrived, 0)/waitShare
+	until := fr.set.Clock.Now() + max(cl.due-cl.arrived, 0)/slotWaitDivisor
 	for {
-		ask := cl.want(run.avoid)
-		ask.Zone, ask.Bytes = cl.pull()
+		ask := cl.placeAsk(run.avoid)
+		ask.Zone, ask.Bytes = cl.inputZone()
 		if tgt, ok := fr.homes.Place(ctx, fr.set.Control.View(), cl.pool.Name(), cl.ticket(), ask); ok {
 			return tgt, outcm.Result{}
 		}
 		if len(run.avoid) > 0 || ctx.Err() != nil || fr.set.Clock.Now() >= until {
-			return homes.Seat{}, outcm.Refuse(outcm.QueueFull, fr.comeBack(soonest), "all endpoints are full")
+			return homes.Seat{}, outcm.Refuse(outcm.QueueFull, fr.retryAfter(minRetryAfter), "all endpoints are full")
 		}
 		select {
-		case <-time.After(waitStep):
+		case <-time.After(slotPollInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// finish notes the end of an attempt.
-func (run *running) finish(tgt homes.Seat, ver route.Verdict, took clock.Milli) {
+// release frees the slot of an attempt and records how the attempt ended.
+func (run *finalRun) release(tgt homes.Seat, ver route.Verdict, took clock.Milli) {
 	fr, cl := run.fr, run.cl
 	if tgt.Ticket == "" {
 		fr.pools.Finish(cl.pool.Name(), tgt.ID, ver, took)
@@ -135,26 +136,26 @@
 	case route.Neutral:
 		end = place.Untold
 	}
-	fr.homes.End(cl.pool.Name(), tgt, end, cl.pause)
+	fr.homes.End(cl.pool.Name(), tgt, end, cl.maxPause)
 }
 
-// last gives the end of a request for which no further endpoint was found.
-func (run *running) last(res outcm.Result) outcm.Result {
-	if run.kept != nil {
-		if run.cl.out.whole(run.kept.rsp, run.kept.body) != nil {
-			return outcm.New(outcm.Unknown, outcm.CallerGone, "the caller left")
+// finalResult returns the result of a request for which no further endpoint was found.
+func (run *finalRun) finalResult(res outcm.Result) outcm.Result {
+	if run.fallback != nil {
+		if run.cl.out.writeBuffered(run.fallback.rsp, run.fallback.body) != nil {
+			return outcm.New(outcm.Unknown, outcm.CallerGone, "the caller disconnected")
 		}
 		return outcm.OK()
 	}
-	if run.failed.Outcome() != outcm.Pending {
-		return run.failed
+	if run.prev.Outcome() != outcm.Pending {
+		return run.prev
 	}
 	return res
 }
 
-// attempt sends the request once. It tells whether another endpoint may be tried;
-// the result then is what the caller gets if there is none.
-func (run *running) attempt(ctx context.Context, tgt homes.Seat) (outcm.Result, bool) {
+// attempt sends the request once. It reports whether another endpoint may be tried; the result is
+// then what the caller gets if there is none.
+func (run *finalRun) attempt(ctx context.Context, tgt homes.Seat) (outcm.Result, bool) {
 	fr, cl := run.fr, run.cl
 	cl.attempts++
 	cl.endpoint = string(tgt.ID)
@@ -163,59 +164,59 @@
 	defer cancel()
 	defer fr.pools.Watch(cl.pool.Name(), tgt.ID, cancel)()
 	began := fr.set.Clock.Now()
-	rqs, stop := fr.releasing(cl, tgt)
+	rqs, stop := fr.withInputRelease(cl, tgt)
 	defer stop()
-	rqs.Allowed = func() bool { return fr.stillAllowed(cl) && !fr.isQuarantined(cl) }
-	var ovt overtime
-	hurry := run.hurry(actx, &ovt, cancel)
+	rqs.Allowed = func() bool { return fr.tokenValid(cl) && !fr.isQuarantined(cl) }
+	var cgd cancelGuard
+	timer := run.cancelIfSlow(actx, &cgd, cancel)
 	rsp, end := fr.set.Relay.Do(actx, tgt.Addr, rqs, talk.Send{
-		Endpoint: tgt.ID, Workspace: cl.wsp, Left: cl.until - began, Priority: cl.rank, Inputs: cl.inputs, Fetch: tgt.From, After: run.after,
+		Endpoint: tgt.ID, Workspace: cl.wsp, Left: cl.deadline - began, Priority: cl.rank, Inputs: cl.inputs, Fetch: tgt.From, After: run.lastEvent,
 	})
-	hurry.Stop()
-	outlasted := ovt.settle()
-	run.paid = outlasted
+	timer.Stop()
+	slow := cgd.settle()
+	run.repeatPaid = slow
 	took := fr.set.Clock.Since(began)
-	if outlasted || end == ending.Answered {
-		// What outlasted its time counts too: were it left out, a pool that turns slow
-		// as a whole would be asked twice for each request, against its old times.
-		fr.firsts.sample(cl.route.Name(), took, fr.set.Clock.Now())
+	if slow || end == ending.Answered {
+		// Slow attempts are sampled too: without them, a pool that becomes slow as a whole would
+		// get each request twice, measured against its old times.
+		fr.firstByteTimes.sample(cl.route.Name(), took, fr.set.Clock.Now())
 	}
 	if rsp != nil {
 		defer func() { _ = rsp.Body.Close() }()
 		fr.pools.Said(cl.pool.Name(), tgt.ID, rsp.Reply)
 	}
-	if outlasted && end == ending.Answered {
-		// Its connection was ended as the answer began.
+	if slow && end == ending.Answered {
+		// The attempt was canceled just as the response began.
 		end = ending.GaveUp
 	}
 	if end == ending.Answered {
 		fr.pools.Began(cl.route.Name(), took)
 		fr.homes.First(cl.pool.Name(), tgt, took)
-		cl.first = took
-		return run.answer(ctx, tgt, rsp, began)
+		cl.firstByte = took
+		return run.forward(ctx, tgt, rsp, began)
 	}
-	run.finish(tgt, end.Verdict(outlasted), took)
+	run.release(tgt, end.Verdict(slow), took)
 	if end == ending.Cut {
-		fr.wasCut(cl, tgt)
+		fr.checkCrash(cl, tgt)
 	}
 	fr.set.Log.Info().Str("request", cl.ask.ID).Str("endpoint", string(tgt.ID)).Str("pool", cl.pool.Name()).Int("attempt", cl.attempts).
-		Str("ending", end.String()).Bool("outlasted", outlasted).Int64("took_ms", int64(took)).Msg("attempt failed")
+		Str("ending", end.String()).Bool("outlasted", slow).Int64("took_ms", int64(took)).Msg("attempt failed")
 	if rsp != nil && rsp.Reply.Misdirected {
 		fr.set.Control.Left(tgt.ID, "another endpoint answers at its address")
 	}
-	return run.judge(ctx, end)
+	return run.afterFailure(ctx, end)
 }
 
-// releasing gives the request with a hook that gives back what it takes, once the
-// engine has had time to fetch it, and what ends the hook.
+// withInputRelease returns the request with a hook that releases its inputs once the engine has
+// had time to fetch them, and a function that stops the hook.
 //
-// A result takes room at its maker until it is given back. Held until the first event,
-// it takes room while the engine reads the prompt, some hundred milliseconds; in a
-// burst all room is taken by results that were fetched long ago, and makers stand
-// idle. An engine whose places are all taken fetches later, and would find nothing; it
-// says then that it ran nothing, and the caller comes back. So the hook is left out
-// for such an engine, as far as its last word tells.
-func (fr *Front) releasing(cl *call, tgt homes.Seat) (relay.Request, func()) {
+// A result takes storage at its endpoint until it is released. If inputs were held until the first
+// event, they would take storage while the engine processes the prompt, some hundred milliseconds;
+// in a burst all storage would be taken by results that were fetched long ago, and the endpoints
+// would be idle. An engine without a free slot fetches later, and would find nothing; it then
+// confirms that it ran nothing, and the caller has to retry. So the hook is left out for an engine
+// that last reported no free slot.
+func (fr *Front) withInputRelease(cl *call, tgt homes.Seat) (relay.Request, func()) {
 	rqs := cl.req
 	if len(cl.inputs) == 0 || tgt.Full {
 		return rqs, func() {}
@@ -224,8 +225,8 @@
 	rqs.Written = func() {
 		go func() {
 			select {
-			case <-time.After(fetchFor):
-				fr.giveBack(cl, allStages)
+			case <-time.After(fetchGrace):
+				fr.releaseResults(cl, allStages)
 			case <-ended:
 			}
 		}()
@@ -233,121 +234,121 @@
 	return rqs, func() { close(ended) }
 }
 
-// judge tells what an attempt without an answer means, and whether there may be
-// another one.
-func (run *running) judge(ctx context.Context, end ending.Ending) (outcm.Result, bool) {
+// afterFailure returns the result of an attempt without a response, and whether another attempt is
+// allowed.
+func (run *finalRun) afterFailure(ctx context.Context, end ending.Ending) (outcm.Result, bool) {
 	fr, cl := run.fr, run.cl
 	if end.RanNothing() {
-		run.refused++
+		run.notRun++
 	} else {
-		run.ran++
+		run.mayHaveRun++
 	}
-	res := run.resultOf(end)
+	res := run.failureResult(end)
 	switch {
 	case ctx.Err() != nil:
 		return res, false
-	case !end.RanNothing() && !cl.route.Repeatable(), len(cl.inputs) > 0 && !cl.holds():
-		// It must not run twice, or what it takes has been given back.
+	case !end.RanNothing() && !cl.route.Repeatable(), len(cl.inputs) > 0 && !cl.hasResults():
+		// The request must not run twice, or its inputs have already been released.
 		return res, false
-	case run.ran >= cl.route.Attempts() || run.ran+run.refused >= cl.route.Attempts()+refusalsMore:
+	case run.mayHaveRun >= cl.route.Attempts() || run.mayHaveRun+run.notRun >= cl.route.Attempts()+extraAttempts:
 		return res, false
-	case fr.isQuarantined(cl) && run.ran == 0:
-		return fr.quarantined(cl), false
-	case !fr.stillAllowed(cl) && run.ran == 0:
-		return notHonoured(), false
-	case !fr.stillAllowed(cl) || fr.isQuarantined(cl) || cl.trial && run.ran > 0:
+	case fr.isQuarantined(cl) && run.mayHaveRun == 0:
+		return fr.refuseQuarantined(cl), false
+	case !fr.tokenValid(cl) && run.mayHaveRun == 0:
+		return refuseUnconfirmed(), false
+	case !fr.tokenValid(cl) || fr.isQuarantined(cl) || cl.trial && run.mayHaveRun > 0:
 		return res, false
-	case end.Sent() && !run.paid && !fr.pools.Repeat(cl.pool.Name(), fr.set.Control.View()):
+	case end.Sent() && !run.repeatPaid && !fr.pools.Repeat(cl.pool.Name(), fr.set.Control.View()):
 		return res, false
 	}
 	fr.set.Meter.Retried(end.Cause())
 	return res, true
 }
 
-// resultOf gives the result of an ending after which nothing more is tried. Once
-// any attempt may have run, "not run" can't be said any more.
-func (run *running) resultOf(end ending.Ending) outcm.Result {
+// failureResult returns the result after a failed attempt if nothing more is tried. Once any
+// attempt may have run, "not run" can't be claimed any more.
+func (run *finalRun) failureResult(end ending.Ending) outcm.Result {
 	fr, cl := run.fr, run.cl
-	passed := fr.set.Clock.Now() >= cl.until
+	passed := fr.set.Clock.Now() >= cl.deadline
 	switch {
-	case run.ran == 0 && passed:
-		return outcm.Refuse(outcm.DeadlinePassed, soonest, "no endpoint took it in time")
-	case run.ran == 0:
-		return outcm.Refuse(outcm.NoEndpoint, fr.comeBack(soonest), "the endpoints that were asked ran nothing: "+end.String())
+	case run.mayHaveRun == 0 && passed:
+		return outcm.Refuse(outcm.DeadlinePassed, minRetryAfter, "no endpoint accepted the request before its deadline")
+	case run.mayHaveRun == 0:
+		return outcm.Refuse(outcm.NoEndpoint, fr.retryAfter(minRetryAfter), "the endpoints tried did not run the request: "+end.String())
 	case passed:
-		return outcm.New(outcm.Unknown, outcm.DeadlinePassed, "the time is up; it may have run")
+		return outcm.New(outcm.Unknown, outcm.DeadlinePassed, "the deadline has passed; the request may have run")
 	case end == ending.Foreign || end == ending.Unsigned:
-		return outcm.New(outcm.Unknown, outcm.WrongAttempt, "the endpoint's answer was not to this request; it may have run")
+		return outcm.New(outcm.Unknown, outcm.WrongAttempt, "the endpoint's response is unsigned or belongs to another request; the request may have run")
 	}
-	return outcm.New(outcm.Unknown, outcm.ConnectionCut, "the endpoint's connection was cut; it may have run")
+	return outcm.New(outcm.Unknown, outcm.ConnectionCut, "the endpoint's connection was cut; the request may have run")
 }
 
-// answer hands an endpoint's answer on.
-func (run *running) answer(ctx context.Context, tgt homes.Seat, rsp *relay.Response, began clock.Milli) (outcm.Result, bool) {
+// forward sends an endpoint's response on to the caller.
+func (run *finalRun) forward(ctx context.Context, tgt homes.Seat, rsp *relay.Response, began clock.Milli) (outcm.Result, bool) {
 	fr, cl := run.fr, run.cl
 	if cl.route.Streams() && rsp.Status == http.StatusOK {
-		// The engine has fetched what it takes. A stream that breaks off can't
-		// go on elsewhere without it, but room is what bounds the stages:
-		// results that were held to the stream's end kept others waiting.
-		fr.giveBack(cl, allStages)
-		return run.stream(ctx, tgt, rsp, began)
+		// The engine has fetched the inputs. Without them a broken stream can't be resumed at
+		// another endpoint, but result storage limits the throughput of the stages: inputs that
+		// were held until the stream's end kept other requests waiting.
+		fr.releaseResults(cl, allStages)
+		return run.forwardStream(ctx, tgt, rsp, began)
 	}
-	body, err := io.ReadAll(io.LimitReader(rsp.Body, keptWhole+1))
+	body, err := io.ReadAll(io.LimitReader(rsp.Body, maxBufferedBody+1))
 	took := fr.set.Clock.Since(began)
 	switch {
 	case err != nil:
-		return run.broken(ctx, tgt, took)
-	case len(body) > keptWhole:
-		run.finish(tgt, route.Good, took)
-		return run.large(rsp, body)
-	}
-	fr.ranWhole(cl, rsp)
-	run.finish(tgt, statusVerdict(rsp.Status), took)
-	if rsp.Status >= http.StatusInternalServerError && cl.route.Repeatable() && !cl.out.begun {
-		run.kept = &kept{rsp: rsp, body: body}
-		if res, again := run.judge(ctx, ending.Cut); again {
+		return run.bodyFailed(ctx, tgt, took)
+	case len(body) > maxBufferedBody:
+		run.release(tgt, route.Good, took)
+		return run.forwardLarge(rsp, body)
+	}
+	fr.clearSuspicion(cl, rsp)
+	run.release(tgt, statusVerdict(rsp.Status), took)
+	if rsp.Status >= http.StatusInternalServerError && cl.route.Repeatable() && !cl.out.headSent {
+		run.fallback = &bufferedAnswer{rsp: rsp, body: body}
+		if res, again := run.afterFailure(ctx, ending.Cut); again {
 			return res, true
 		}
 	}
-	if cl.out.begun {
-		// A stream that was to go on elsewhere got a failure in its place.
+	if cl.out.headSent {
+		// The endpoint that was to resume the stream answered with something else.
 		return outcm.New(outcm.Unknown, outcm.StreamCut, "the stream could not be resumed"), false
 	}
-	if cl.out.whole(rsp, body) != nil {
-		return outcm.New(outcm.Unknown, outcm.CallerGone, "the caller left"), false
+	if cl.out.writeBuffered(rsp, body) != nil {
+		return outcm.New(outcm.Unknown, outcm.CallerGone, "the caller disconnected"), false
 	}
 	return outcm.OK(), false
 }
 
-// broken ends an attempt whose answer broke off.
-func (run *running) broken(ctx context.Context, tgt homes.Seat, took clock.Milli) (outcm.Result, bool) {
+// bodyFailed ends an attempt whose response body broke off.
+func (run *finalRun) bodyFailed(ctx context.Context, tgt homes.Seat, took clock.Milli) (outcm.Result, bool) {
 	end := ending.Broken(ctx)
-	run.finish(tgt, end.Verdict(false), took)
+	run.release(tgt, end.Verdict(false), took)
 	if end == ending.Cut {
-		run.fr.wasCut(run.cl, tgt)
+		run.fr.checkCrash(run.cl, tgt)
 	}
-	return run.judge(ctx, end)
+	return run.afterFailure(ctx, end)
 }
 
-// large hands on an answer that is too long to be kept.
-func (run *running) large(rsp *relay.Response, body []byte) (outcm.Result, bool) {
+// forwardLarge forwards a response that is too long to be buffered.
+func (run *finalRun) forwardLarge(rsp *relay.Response, body []byte) (outcm.Result, bool) {
 	out := run.cl.out
-	out.head(rsp, int(rsp.Length))
+	out.writeHead(rsp, int(rsp.Length))
 	for {
 		if out.write(body) != nil {
-			return outcm.New(outcm.Unknown, outcm.CallerGone, "the caller left"), false
+			return outcm.New(outcm.Unknown, outcm.CallerGone, "the caller disconnected"), false
 		}
 		n, err := rsp.Body.Read(body[:cap(body)])
 		body = body[:n]
 		if errors.Is(err, io.EOF) {
-			run.fr.ranWhole(run.cl, rsp)
+			run.fr.clearSuspicion(run.cl, rsp)
 			if out.write(body) != nil {
-				return outcm.New(outcm.Unknown, outcm.CallerGone, "the caller left"), false
+				return outcm.New(outcm.Unknown, outcm.CallerGone, "the caller disconnected"), false
 			}
 			return outcm.OK(), false
 		}
 		if err != nil {
-			return outcm.New(outcm.Unknown, outcm.ConnectionCut, "the answer was cut"), false
+			return outcm.New(outcm.Unknown, outcm.ConnectionCut, "the response body was cut off"), false
 		}
 	}
 }
@@ -359,16 +360,16 @@
 	return route.Good
 }
 
-// stream hands on the events of a stream as they come. What broke off goes on at
-// another endpoint after the last whole event, if the route allows that, under the
-// head of the first one.
-func (run *running) stream(ctx context.Context, tgt homes.Seat, rsp *relay.Response, began clock.Milli) (outcm.Result, bool) {
+// forwardStream forwards the events of a stream as they arrive. A stream that broke off is resumed
+// at another endpoint after the last complete event, if the route allows that; the caller keeps the
+// header of the first response.
+func (run *finalRun) forwardStream(ctx context.Context, tgt homes.Seat, rsp *relay.Response, began clock.Milli) (outcm.Result, bool) {
 	fr, cl := run.fr, run.cl
-	if !cl.out.begun {
-		cl.out.head(rsp, -1)
+	if !cl.out.headSent {
+		cl.out.writeHead(rsp, -1)
 		if cl.out.ctl.Flush() != nil {
-			run.finish(tgt, route.Neutral, 0)
-			return outcm.New(outcm.Unknown, outcm.CallerGone, "the caller left"), false
+			run.release(tgt, route.Neutral, 0)
+			return outcm.New(outcm.Unknown, outcm.CallerGone, "the caller disconnected"), false
 		}
 	}
 	evs := relay.NewEvents(rsp.Body)
@@ -376,25 +377,25 @@
 	for {
 		event, err := evs.Next()
 		now := fr.set.Clock.Now()
-		cl.pause, last = max(cl.pause, now-last), now
+		cl.maxPause, last = max(cl.maxPause, now-last), now
 		if errors.Is(err, io.EOF) {
-			fr.ranWhole(cl, rsp)
-			run.finish(tgt, route.Good, fr.set.Clock.Since(began))
+			fr.clearSuspicion(cl, rsp)
+			run.release(tgt, route.Good, fr.set.Clock.Since(began))
 			return outcm.OK(), false
 		}
 		if err != nil {
 			break
 		}
 		if cl.out.write(event) != nil {
-			run.finish(tgt, route.Neutral, 0)
-			return outcm.New(outcm.Unknown, outcm.CallerGone, "the caller left"), false
+			run.release(tgt, route.Neutral, 0)
+			return outcm.New(outcm.Unknown, outcm.CallerGone, "the caller disconnected"), false
 		}
 		if name, ok := fr.set.Dialect.EventName(event); ok {
-			run.after = name
+			run.lastEvent = name
 		}
 	}
-	fr.set.Log.Info().Str("request", cl.ask.ID).Str("endpoint", string(tgt.ID)).Str("after", run.after).Msg("stream cut")
-	res, again := run.broken(ctx, tgt, fr.set.Clock.Since(began))
+	fr.set.Log.Info().Str("request", cl.ask.ID).Str("endpoint", string(tgt.ID)).Str("after", run.lastEvent).Msg("stream cut off by endpoint")
+	res, again := run.bodyFailed(ctx, tgt, fr.set.Clock.Since(began))
 	if again {
 		fr.set.Meter.Retried(retry.Resumed)
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -24,7 +24,7 @@
 	"amaranthvalve/pkg/poison"
 )
 
-// Setup is what a front is made of.
+// Setup holds the dependencies and settings of a [Front].
 type Setup struct {
 	Control *state.Control
 	Dialect *talk.Dialect
@@ -34,34 +34,34 @@
 	Clock   clock.Clock
 	Meter   *meter.Meter
 	Log     zerolog.Logger
-	// TokensFor is the age up to which a view's tokens are honoured.
+	// TokensFor is the maximum age of a view whose tokens are accepted.
 	TokensFor clock.Milli
 }
 
-// Front serves callers. It is made by [New].
+// Front serves callers' requests. It is created by [New].
 type Front struct {
-	set   Setup
-	pools *pools.Pools
-	homes *homes.Homes
-	head  chain.Next[*call]
-	under atomic.Int64
-	// ends is the instant of the end of a planned stop, zero for none.
-	ends atomic.Int64
-	// firsts has the times from a final call to its first byte.
-	firsts needs
+	set      Setup
+	pools    *pools.Pools
+	homes    *homes.Homes
+	head     chain.Next[*call]
+	inFlight atomic.Int64
+	// stopEnd is the time at which a planned shutdown ends, zero if there is none.
+	stopEnd atomic.Int64
+	// firstByteTimes has the measured times from a final call to its first byte.
+	firstByteTimes routeTimes
 }
 
-// New returns a front with its filters in their order.
+// New returns a front with its filters linked in order.
 func New(set Setup) *Front {
 	fr := &Front{set: set, pools: set.Pools, homes: set.Homes}
-	fr.head = chain.Link(fr.final, fr.match, fr.stay, fr.identify, fr.quarantine, fr.admit, fr.stages)
+	fr.head = chain.Link(fr.final, fr.match, fr.drain, fr.identify, fr.quarantine, fr.admit, fr.stages)
 	return fr
 }
 
-// Under gives the number of requests under way.
-func (fr *Front) Under() int64 { return fr.under.Load() }
+// Under returns the number of requests in flight.
+func (fr *Front) Under() int64 { return fr.inFlight.Load() }
 
-// call is one request on its way through the chain.
+// call is the state of one request as it passes the filters.
 type call struct {
 	view    *state.View
 	ask     talk.Ask
@@ -71,35 +71,35 @@
 	pool    *plan.Pool
 	wsp     string
 	arrived clock.Milli
-	// due is the instant up to which an answer is of full worth, until the one
-	// at which the caller leaves or its operators want it answered.
-	due   clock.Milli
-	until clock.Milli
-	rank  int
-	// spent is how long ago the caller came with this request for the first time.
-	spent clock.Milli
-	// engine is the model engine that the request will probably go to.
+	// due is the time up to which a response meets the target latency; deadline is when the
+	// caller disconnects or the route's timeout ends.
+	due      clock.Milli
+	deadline clock.Milli
+	rank     int
+	// sinceFirst is the time since the caller first sent this request.
+	sinceFirst clock.Milli
+	// engine is the model engine that the request will probably be placed at.
 	engine place.Engine
 	inputs []string
-	// made may be given back by a timer while the final call runs.
-	mtx  sync.Mutex
-	made []made
-	out  *output
-	// marked is the request's mark once marking is done: reading a long body takes a while,
-	// and most requests need none.
-	marking sync.Once
-	marked  poison.Mark
-	// trial tells that the request is let in after its quarantine: it is sent to one endpoint.
+	// mtx guards results: a timer may release them while the final call runs.
+	mtx     sync.Mutex
+	results []stageResults
+	out     *output
+	// fprint is the request's fingerprint, computed on first use: hashing a long body takes a
+	// while, and most requests need none.
+	fprintOnce sync.Once
+	fprint     poison.Mark
+	// trial is set when the request is admitted after its quarantine; it gets a single attempt.
 	trial bool
-	// what the line of the end tells
-	attempts int
-	remakes  int
-	again    []int
-	endpoint string
-	staged   clock.Milli
-	first    clock.Milli
-	pause    clock.Milli
-	viewAge  clock.Milli
+	// Fields of the log line at the end of the request.
+	attempts   int
+	recomputes int
+	recomputed []int
+	endpoint   string
+	stagesTook clock.Milli
+	firstByte  clock.Milli
+	maxPause   clock.Milli
+	viewAge    clock.Milli
 }
 
 // ServeHTTP serves one request.
@@ -108,30 +108,31 @@
 	cl.view = fr.set.Control.Whole(req.Context())
 	cl.viewAge = cl.view.Age(cl.arrived)
 	cl.out = newOutput(fr, wrt)
-	fr.set.Control.SetLoad(fr.under.Add(1))
-	defer func() { fr.set.Control.SetLoad(fr.under.Add(-1)) }()
+	fr.set.Control.SetLoad(fr.inFlight.Add(1))
+	defer func() { fr.set.Control.SetLoad(fr.inFlight.Add(-1)) }()
 	ctx := req.Context()
 	res := fr.head(ctx, cl)
-	fr.giveBack(cl, allStages)
+	fr.releaseResults(cl, allStages)
 	if ctx.Err() != nil && res.Outcome() != outcm.Done {
-		res = interrupted(ctx, res)
+		res = canceledResult(ctx, res)
 	}
 	fr.finish(cl, res)
 }
 
-// interrupted gives the result of a request whose context ended: its caller left, or a
-// planned stop has no time left. A caller that is still there is told to go elsewhere.
-func interrupted(ctx context.Context, res outcm.Result) outcm.Result {
+// canceledResult returns the result of a request whose context was canceled: its caller
+// disconnected, or a planned shutdown ran out of time. A caller that is still connected is asked to
+// use another address.
+func canceledResult(ctx context.Context, res outcm.Result) outcm.Result {
 	switch {
 	case !errors.Is(context.Cause(ctx), serve.ErrGivenUp):
-		return outcm.New(res.Outcome(), outcm.CallerGone, "the caller left")
+		return outcm.New(res.Outcome(), outcm.CallerGone, "the caller disconnected")
 	case res.IsRefusal():
-		return outcm.Refuse(outcm.Stopping, soonest, "this instance has stopped; use another address")
+		return outcm.Refuse(outcm.Stopping, minRetryAfter, "this instance has stopped; use another address")
 	}
-	return outcm.New(res.Outcome(), outcm.Stopping, "this instance has stopped; it may have run")
+	return outcm.New(res.Outcome(), outcm.Stopping, "this instance has stopped; the request may have run")
 }
 
-// finish writes the answer of what was not answered, counts and logs.
+// finish records and logs the end of a request, and writes the response if the request failed.
 func (fr *Front) finish(cl *call, res outcm.Result) {
 	took := fr.set.Clock.Since(cl.arrived)
 	name := ""
@@ -142,14 +143,14 @@
 	evt := fr.set.Log.Info()
 	evt.Str("request", cl.ask.ID).Str("route", name).Str("workspace", cl.wsp).Int("rank", cl.rank).Str("outcome", res.Outcome().String()).
 		Str("reason", res.Reason().String()).Str("detail", res.Detail()).Int64("took_ms", int64(took)).
-		Int64("spent_ms", int64(cl.spent)).Int64("staged_ms", int64(cl.staged)).Int64("first_ms", int64(cl.first)).Int64("pause_ms", int64(cl.pause)).Int("tokens", cl.tokens()).Int("attempts", cl.attempts).Str("endpoint", cl.endpoint).
+		Int64("spent_ms", int64(cl.sinceFirst)).Int64("staged_ms", int64(cl.stagesTook)).Int64("first_ms", int64(cl.firstByte)).Int64("pause_ms", int64(cl.maxPause)).Int("tokens", cl.tokens()).Int("attempts", cl.attempts).Str("endpoint", cl.endpoint).
 		Int64("offset", cl.view.Offset()).Int64("view_age_ms", int64(cl.viewAge)).Msg("request ended")
 	if res.Outcome() != outcm.Done {
-		cl.out.fail(res)
+		cl.out.writeFailure(res)
 	}
 }
 
-// tokens gives the length of the request's prompt, zero for plain calls.
+// tokens returns the length of the request's prompt, zero for plain calls.
 func (cl *call) tokens() int {
 	if cl.ask.Prompt == nil {
 		return 0
--- a/internal/front/output.go
+++ b/internal/front/output.go
@@ -11,26 +11,26 @@
 	"amaranthvalve/pkg/outcm"
 )
 
-// writeWait bounds one write to a caller. A caller that reads no more would
-// otherwise hold a place at an engine until its deadline.
-const writeWait = 5 * time.Second
+// writeTimeout bounds one write to a caller. A caller that has stopped reading would otherwise
+// hold a slot at an engine until its deadline.
+const writeTimeout = 5 * time.Second
 
-// output writes one answer to a caller.
+// output writes one response to a caller.
 type output struct {
-	fr    *Front
-	wrt   http.ResponseWriter
-	ctl   *http.ResponseController
-	begun bool
-	// last tells that the caller's connection must close after the answer.
-	last bool
+	fr       *Front
+	wrt      http.ResponseWriter
+	ctl      *http.ResponseController
+	headSent bool
+	// closeAfter is set when the caller's connection must be closed after the response.
+	closeAfter bool
 }
 
 func newOutput(fr *Front, wrt http.ResponseWriter) *output {
 	return &output{fr: fr, wrt: wrt, ctl: http.NewResponseController(wrt)}
 }
 
-// head writes an endpoint's status and headers.
-func (out *output) head(rsp *relay.Response, length int) {
+// writeHead writes an endpoint's status and headers.
+func (out *output) writeHead(rsp *relay.Response, length int) {
 	hdr := out.wrt.Header()
 	for name, vals := range rsp.Header {
 		hdr[name] = vals
@@ -39,49 +39,48 @@
 	if length >= 0 {
 		hdr.Set("Content-Length", strconv.Itoa(length))
 	}
-	// The library would guess a type where the endpoint named none.
+	// net/http would guess a content type where the endpoint set none.
 	if _, ok := hdr["Content-Type"]; !ok {
 		hdr["Content-Type"] = nil
 	}
-	out.close(hdr)
-	out.begun = true
+	out.setClose(hdr)
+	out.headSent = true
 	out.wrt.WriteHeader(rsp.Status)
 }
 
-func (out *output) close(hdr http.Header) {
-	if _, leaving := out.fr.leaving(); leaving || out.last {
+func (out *output) setClose(hdr http.Header) {
+	if _, leaving := out.fr.stopping(); leaving || out.closeAfter {
 		hdr.Set("Connection", "close")
 	}
 }
 
-// whole writes an answer that is there whole.
-func (out *output) whole(rsp *relay.Response, body []byte) error {
-	out.head(rsp, len(body))
+// writeBuffered writes a complete response.
+func (out *output) writeBuffered(rsp *relay.Response, body []byte) error {
+	out.writeHead(rsp, len(body))
 	return out.write(body)
 }
 
-// write writes a part and sends it on its way.
+// write writes a part of the body and flushes it.
 func (out *output) write(part []byte) error {
-	_ = out.ctl.SetWriteDeadline(time.Now().Add(writeWait))
+	_ = out.ctl.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := out.wrt.Write(part); err != nil {
 		return err
 	}
 	return out.ctl.Flush()
 }
 
-// failure is the body of an answer of our own.
-type failure struct {
+// failureBody is the body of a response of our own.
+type failureBody struct {
 	Outcome      string      `json:"outcome"`
 	Reason       string      `json:"reason"`
 	Detail       string      `json:"detail,omitempty"`
 	RetryAfterMs clock.Milli `json:"retry_after_ms,omitempty"`
 }
 
-// fail answers for a request that no endpoint answered. An answer that has begun
-// can't be taken back: the connection is broken, so that its end doesn't look like
-// the answer's.
-func (out *output) fail(res outcm.Result) {
-	if out.begun {
+// writeFailure answers a request that no endpoint answered. A response that has begun can't be
+// taken back: its connection is aborted, so that it doesn't look complete.
+func (out *output) writeFailure(res outcm.Result) {
+	if out.headSent {
 		panic(http.ErrAbortHandler)
 	}
 	hdr := out.wrt.Header()
@@ -89,8 +88,8 @@
 	if after := res.RetryAfter(); after > 0 {
 		hdr.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 	}
-	out.close(hdr)
-	body, err := json.Marshal(failure{
+	out.setClose(hdr)
+	body, err := json.Marshal(failureBody{
 		Outcome: res.Outcome().String(), Reason: res.Reason().String(), Detail: res.Detail(), RetryAfterMs: res.RetryAfter(),
 	})
 	if err != nil {
@@ -101,8 +100,8 @@
 	_ = out.write(body)
 }
 
-// statusOf gives the status of a failure. What may have run is never told by a
-// status that promises that it hasn't.
+// statusOf returns the status code of a failure. A request that may have run never gets a status
+// which promises that it hasn't.
 func statusOf(res outcm.Result) int {
 	switch {
 	case res.Outcome() == outcm.NotRun && res.Reason() == outcm.DeadlinePassed:
--- a/internal/front/results.go
+++ b/internal/front/results.go
@@ -8,84 +8,83 @@
 )
 
 const (
-	// nearFrom is how many bytes a piece must spare between data centres to be
-	// made in a certain one; below it, which endpoint is free first matters more.
-	nearFrom = 128 << 10
-	// allStages stands for all of a request's results.
+	// minZoneBytes is the traffic between data centres that an item must save to be placed in a
+	// certain one; below it, the endpoint that is free first matters more.
+	minZoneBytes = 128 << 10
+	// allStages selects the results of all stages of a request.
 	allStages = -1
-	// heavyShare of a maker's room is what the results of a stage must take to be given
-	// back as soon as they were fetched. Lighter ones are held until the call that takes
-	// them has ended: should it find no room, or its endpoint die, it can be made again.
-	heavyShare = 0.01
+	// earlyReleaseShare is the share of an endpoint's result storage above which the results of
+	// a stage are released as soon as they were fetched. Smaller ones are held until the batch
+	// that takes them has ended: if that batch finds no storage, or its endpoint crashes, it can
+	// be repeated.
+	earlyReleaseShare = 0.01
 )
 
-// made are results that were made for a request and take room until given back.
-type made struct {
-	pool  string
-	stage int
-	list  []batch.Handle
-	home  string
-	// at is when they were made.
-	at clock.Milli
+// stageResults are results that were made for a request and take storage until released.
+type stageResults struct {
+	pool        string
+	stage       int
+	handles     []batch.Handle
+	coordinator string
+	madeAt      clock.Milli
 }
 
-// never is an instant after all others.
-const never = clock.Milli(1 << 62)
+// farFuture is a time after all others.
+const farFuture = clock.Milli(1 << 62)
 
-// lapses gives the instant by which a stage must be made, because a result that it
-// takes is held no longer by its maker. A piece that waits beyond it would have its call's
-// time and find nothing.
-func (cl *call) lapses(stg int) clock.Milli {
-	first := never
-	for _, mad := range cl.made {
-		if !slices.Contains(cl.route.Graph().After(stg), mad.stage) {
+// inputsExpire returns the time by which a stage must be done, because the TTL of one of its
+// inputs ends then. An item that waits longer would run and find its input gone.
+func (cl *call) inputsExpire(stg int) clock.Milli {
+	first := farFuture
+	for _, srs := range cl.results {
+		if !slices.Contains(cl.route.Graph().After(stg), srs.stage) {
 			continue
 		}
-		if spc := cl.batchOf(mad.stage); spc != nil && spc.Keep > 0 {
-			first = min(first, mad.at+spc.Keep)
+		if spc := cl.batchSpec(srs.stage); spc != nil && spc.Keep > 0 {
+			first = min(first, srs.madeAt+spc.Keep)
 		}
 	}
 	return first
 }
 
-// near gives the data centre in which a stage's pieces should be made: the one that
-// spares most bytes between data centres. Each piece fetches all results that its
-// stage takes, and those of the last stages are fetched by the model engine.
-func (cl *call) near(stg int) string {
+// preferredZone returns the data centre in which a stage's items should be made: the one that saves
+// most traffic between data centres. Each item fetches all inputs of its stage, and the results of
+// the last stages are fetched by the model engine.
+func (cl *call) preferredZone(stg int) string {
 	raw := cl.route.Stages()[stg]
 	pull := map[string]int64{}
 	if cl.route.Graph().IsLeaf(stg) {
 		pull[cl.engine.Zone] += raw.Bytes
 	}
-	for _, mad := range cl.made {
-		if !slices.Contains(raw.After, mad.stage) {
+	for _, srs := range cl.results {
+		if !slices.Contains(raw.After, srs.stage) {
 			continue
 		}
-		for _, res := range mad.list {
-			pull[res.Zone] += cl.route.Stages()[mad.stage].Bytes
+		for _, res := range srs.handles {
+			pull[res.Zone] += cl.route.Stages()[srs.stage].Bytes
 		}
 	}
-	zone, _ := heaviest(pull, nearFrom-1)
+	zone, _ := heaviest(pull, minZoneBytes-1)
 	return zone
 }
 
-// pull gives the data centre in which most of what the final call takes lies, and how much
+// inputZone returns the data centre that holds most bytes of the final call's inputs, and how many
 // that is.
-func (cl *call) pull() (zone string, bytes int64) {
+func (cl *call) inputZone() (zone string, bytes int64) {
 	pull := map[string]int64{}
-	for _, mad := range cl.made {
-		if !cl.route.Graph().IsLeaf(mad.stage) {
+	for _, srs := range cl.results {
+		if !cl.route.Graph().IsLeaf(srs.stage) {
 			continue
 		}
-		for _, res := range mad.list {
-			pull[res.Zone] += cl.route.Stages()[mad.stage].Bytes
+		for _, res := range srs.handles {
+			pull[res.Zone] += cl.route.Stages()[srs.stage].Bytes
 		}
 	}
 	return heaviest(pull, 0)
 }
 
-// heaviest gives the data centre with the most bytes, if these are more than least; of two
-// with the same the first by name.
+// heaviest returns the data centre with the most bytes, if these are more than least; of two with
+// the same number, the first by name.
 func heaviest(pull map[string]int64, least int64) (zone string, bytes int64) {
 	bytes = least
 	for name, sum := range pull {
@@ -96,15 +95,15 @@
 	return zone, bytes
 }
 
-// handles lists the results of stages, in the order of the stages and pieces.
-func (cl *call) handles(stages []int) []string {
+// handleNames lists the handles of the results of stages, in the order of the stages and items.
+func (cl *call) handleNames(stages []int) []string {
 	var names []string
 	for _, stg := range slices.Sorted(slices.Values(stages)) {
-		for _, mad := range cl.made {
-			if mad.stage != stg {
+		for _, srs := range cl.results {
+			if srs.stage != stg {
 				continue
 			}
-			for _, res := range mad.list {
+			for _, res := range srs.handles {
 				names = append(names, res.Name)
 			}
 		}
@@ -112,64 +111,65 @@
 	return names
 }
 
-// weight gives the bytes of the results of stages.
-func (cl *call) weight(stages []int) int64 {
+// resultBytes returns the size of the results of stages, in bytes.
+func (cl *call) resultBytes(stages []int) int64 {
 	var bytes int64
-	for _, mad := range cl.made {
-		if slices.Contains(stages, mad.stage) {
-			bytes += int64(len(mad.list)) * cl.route.Stages()[mad.stage].Bytes
+	for _, srs := range cl.results {
+		if slices.Contains(stages, srs.stage) {
+			bytes += int64(len(srs.handles)) * cl.route.Stages()[srs.stage].Bytes
 		}
 	}
 	return bytes
 }
 
-// lots lists the results of stages with those who had them made.
+// lots lists the results of stages with the coordinators that had them made.
 func (cl *call) lots(stages []int) []batch.Lot {
 	var lots []batch.Lot
-	for _, mad := range cl.made {
-		if slices.Contains(stages, mad.stage) {
-			lots = append(lots, batch.Lot{Home: mad.home, Freed: batch.Freed{Pool: mad.pool, Results: mad.list}})
+	for _, srs := range cl.results {
+		if slices.Contains(stages, srs.stage) {
+			lots = append(lots, batch.Lot{Home: srs.coordinator, Freed: batch.Freed{Pool: srs.pool, Results: srs.handles}})
 		}
 	}
 	return lots
 }
 
-// forget drops the results of stages that were given back by others.
-func (cl *call) forget(stages []int) {
+// dropResults removes the results of stages that others have released.
+func (cl *call) dropResults(stages []int) {
 	cl.mtx.Lock()
 	defer cl.mtx.Unlock()
-	cl.made = slices.DeleteFunc(cl.made, func(mad made) bool { return slices.Contains(stages, mad.stage) })
+	cl.results = slices.DeleteFunc(cl.results, func(srs stageResults) bool { return slices.Contains(stages, srs.stage) })
 }
 
-// heavy lists those of the stages whose results take room worth speaking of.
-func (cl *call) heavy(stages []int) []int {
+// releasedEarly selects those of the stages whose results are large enough to be released as soon
+// as they were fetched.
+func (cl *call) releasedEarly(stages []int) []int {
 	return slices.DeleteFunc(slices.Clone(stages), func(stg int) bool {
-		spc := cl.batchOf(stg)
-		return spc != nil && float64(cl.weight([]int{stg})) < heavyShare*float64(spc.Room)
+		spc := cl.batchSpec(stg)
+		return spc != nil && float64(cl.resultBytes([]int{stg})) < earlyReleaseShare*float64(spc.Room)
 	})
 }
 
-// holdsOf tells whether the results of a stage are still held.
-func (cl *call) holdsOf(stg int) bool {
-	return slices.ContainsFunc(cl.made, func(mad made) bool { return mad.stage == stg })
+// hasResultsOf reports whether the results of a stage are still held.
+func (cl *call) hasResultsOf(stg int) bool {
+	return slices.ContainsFunc(cl.results, func(srs stageResults) bool { return srs.stage == stg })
 }
 
-// holds tells whether any of a request's results are still held.
-func (cl *call) holds() bool {
+// hasResults reports whether any of the request's results are still held.
+func (cl *call) hasResults() bool {
 	cl.mtx.Lock()
 	defer cl.mtx.Unlock()
-	return len(cl.made) > 0
+	return len(cl.results) > 0
 }
 
-// giveBack gives back a stage's results, or all.
-func (fr *Front) giveBack(cl *call, stg int) {
+// releaseResults releases the results of a stage, or of [allStages].
+func (fr *Front) releaseResults(cl *call, stg int) {
 	cl.mtx.Lock()
 	defer cl.mtx.Unlock()
-	cl.made = slices.DeleteFunc(cl.made, func(mad made) bool {
-		if stg != allStages && mad.stage != stg {
+	cl.results = slices.DeleteFunc(cl.results, func(srs stageResults) bool {
+		if stg != allStages && srs.stage != stg {
 			return false
 		}
-		fr.homes.Free(mad.home, batch.Freed{Pool: mad.pool, Results: mad.list})
+		fr.homes.Free(srs.coordinator, batch.Freed{Pool: srs.pool, Results: srs.handles})
 		return true
 	})
 }
--- a/internal/front/results_test.go
+++ b/internal/front/results_test.go
@@ -10,9 +10,9 @@
 	"amaranthvalve/pkg/plan"
 )
 
-// chained is a request with a small result of a first stage and large ones of a second,
-// both made.
-func chained(t *testing.T) *call {
+// chainedCall returns a request with a small result of its first stage and large ones of its
+// second.
+func chainedCall(t *testing.T) *call {
 	pln, faults := plan.Compile(plan.Draft{
 		Pools: []plan.DraftPool{
 			{Name: "encode", Batch: &plan.DraftBatch{Places: 1, Most: 12, Call: 240, Item: 17, Room: 14_000_000}},
@@ -31,19 +31,18 @@
 	handles := func(count int) []batch.Handle { return make([]batch.Handle, count) }
 	return &call{
 		view: state.ViewOf(pln), route: pln.Routes()[0],
-		made: []made{{stage: 0, pool: "encode", list: handles(1)}, {stage: 1, pool: "search", list: handles(4)}},
+		results: []stageResults{{stage: 0, pool: "encode", handles: handles(1)}, {stage: 1, pool: "search", handles: handles(4)}},
 	}
 }
 
-// TestLightInputsAreHeld: a chain begins with a result of 8 KB, whose makers hold 14 MB. The
-// call that takes it fetches it at once and then finds no room for what it makes. The
-// result is still held, so that the call can be made again elsewhere; given back after the fetch,
-// the whole request was refused. Results of 60 KB, at makers that hold 3.7 MB, are given back:
-// held, they would keep the next ones from being made.
+// Guards against releasing a small input (8 KB, at endpoints that hold 14 MB) as soon as it was
+// fetched: if the batch that fetched it then finds no storage for its own results, it can't be
+// repeated elsewhere and the whole request is refused. Results of 60 KB, at endpoints that hold
+// 3.7 MB, must be released early, since they would keep further results from being made.
 func TestLightInputsAreHeld(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	cl := chained(t)
-	gom.Expect(cl.heavy([]int{0})).To(gomega.BeEmpty())
-	gom.Expect(cl.heavy([]int{1})).To(gomega.Equal([]int{1}))
-	gom.Expect(cl.heavy([]int{0, 1})).To(gomega.Equal([]int{1}))
+	cl := chainedCall(t)
+	gom.Expect(cl.releasedEarly([]int{0})).To(gomega.BeEmpty())
+	gom.Expect(cl.releasedEarly([]int{1})).To(gomega.Equal([]int{1}))
+	gom.Expect(cl.releasedEarly([]int{0, 1})).To(gomega.Equal([]int{1}))
 }
--- a/internal/node/explain_test.go
+++ b/internal/node/explain_test.go
@@ -87,7 +87,7 @@
 			mkr.Takes = 150 * time.Millisecond
 		}
 		expect(staged("late", "4000").status).To(equal(http.StatusOK))
-		eventually(func() string { return lbf.explain("late") }, soon).Should(gomega.MatchRegexp(`(?s)stage waited: .*pool=rosters.*took_ms=\d{3}.*request ended: .*outcome=done.*staged_ms=\d{3}`))
+		eventually(func() string { return lbf.explain("late") }, soon).Should(gomega.MatchRegexp(`(?s)stage slow or failed: .*pool=rosters.*took_ms=\d{3}.*request ended: .*outcome=done.*staged_ms=\d{3}`))
 
 		fault(wld.plain, fake.Cuts)
 		expect(wld.send(0, ask{path: "/booking/x", id: "broken"}).status).To(equal(http.StatusBadGateway))
--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -150,7 +150,7 @@
 		}, soon).Should(gomega.ContainSubstring(`"quarantined"`))
 		expect(last.status).To(equal(http.StatusServiceUnavailable))
 		expect(last.header).NotTo(gomega.HaveKey("Retry-After"))
-		expect(last.body).To(gomega.MatchRegexp(`3 endpoints ended under this request: engine-\d+ .*s ago, told by 127.*; engine-\d+ .*; engine-\d+`))
+		expect(last.body).To(gomega.MatchRegexp(`3 endpoints crashed under this request: engine-\d+ .*s ago, reported by 127.*; engine-\d+ .*; engine-\d+`))
 	})
 
 	// Guards against an end that counts at the instance alone that saw it.
--- a/internal/talk/talk.go
+++ b/internal/talk/talk.go
@@ -1,9 +1,9 @@
-// Package talk is the seam between the product and the ways in which callers,
-// endpoints and the store are spoken to.
+// Package talk defines the interface between the product and the protocols of callers, endpoints
+// and the store.
 //
-// A [Dialect] is a table of functions that one folder fills in; names, headers,
-// paths and formats stay there. Everything here is in the product's own words, so
-// that nothing which decides knows how a thing is spelled on the wire.
+// A [Dialect] is a table of functions that one package fills in; header names, paths and formats stay
+// there. The types here use the product's own terms, so that the code that makes decisions doesn't
+// depend on how anything is encoded on the wire.
 package talk
 
 import (
@@ -18,28 +18,28 @@
 	"amaranthvalve/pkg/plan"
 )
 
-// Error is the class of errors in what callers sent.
+// Error is the class of errors in callers' requests.
 var Error = errs.Class("request")
 
-// Ask is what a caller's request says of itself, beside method, target and body.
+// Ask is the metadata of a caller's request, beside method, target and body.
 type Ask struct {
-	// ID is the request's name, given by the caller and unique to the attempt.
+	// ID identifies the request. The caller sets it, unique to the attempt.
 	ID string
-	// Left is how long the caller will wait, zero if it doesn't say.
+	// Left is how long the caller will wait, zero if unknown.
 	Left clock.Milli
-	// Token proves the workspace.
+	// Token authenticates the workspace.
 	Token string
-	// Prompt is what a model engine is to read; nil for plain calls.
+	// Prompt describes the prompt for a model engine; nil for plain calls.
 	Prompt *place.Prompt
 	// Pieces is the number of pieces of each stage, and PieceKey what the first
 	// stages make them from.
 	Pieces   []int
 	PieceKey string
-	// After is the last event of a stream that the caller has.
+	// After is the ID of the last stream event that the caller has received.
 	After string
 }
 
-// Send is what the system says to an endpoint beside what the caller sent.
+// Send is the metadata that the system adds to a request to an endpoint.
 type Send struct {
 	// Endpoint is who must answer; anybody else at the address refuses.
 	Endpoint  ident.Process
@@ -48,37 +48,38 @@
 	Left clock.Milli
 	// Priority is the rank among the endpoint's requests; below 0 for none.
 	Priority int
-	// Inputs are the results that the request takes.
+	// Inputs are the handles of the results that the request takes.
 	Inputs []string
-	// Fetch is the address of an engine from which this one fetches what that one holds of
-	// the prompt and it doesn't; empty for none.
+	// Fetch is the address of an engine from which this one fetches the parts of the prompt that
+	// it hasn't cached itself; empty for none.
 	Fetch string
-	// After is the last event that the caller has; empty for a start.
+	// After is the ID of the last stream event that the caller has received; empty for a new
+	// stream.
 	After string
 }
 
-// Reply is what an endpoint's answer says beside status and body.
+// Reply is the metadata of an endpoint's response, beside status and body.
 type Reply struct {
-	// ID is the request that the endpoint answers.
+	// ID identifies the request that the endpoint answers.
 	ID string
-	// Signed tells that the answer bears the endpoint's proof.
+	// Signed is set if the response carries the endpoint's signature.
 	Signed bool
-	// NotRun is the endpoint's word that it didn't run the request.
+	// NotRun is set if the endpoint confirms that it didn't run the request.
 	NotRun bool
-	// Misdirected tells that another endpoint lives at the address.
+	// Misdirected is set if another endpoint listens at the address.
 	Misdirected bool
-	// Leaving tells that the endpoint said it will close.
+	// Leaving is set if the endpoint announces that it will close.
 	Leaving bool
-	// Load is the endpoint's own word on its load, if HasLoad.
+	// Load is the load that the endpoint reports, if HasLoad.
 	Load    int
 	HasLoad bool
-	// Rate is how many requests a second the endpoint takes from all instances together,
-	// if HasRate.
+	// Rate is the rate limit that the endpoint declares, in requests per second from all
+	// instances together, if HasRate.
 	Rate    float64
 	HasRate bool
 }
 
-// Endpoint is an endpoint as the store lists it.
+// Endpoint is an endpoint's entry in the store.
 type Endpoint struct {
 	ID      ident.Process
 	Pool    string
@@ -88,123 +89,123 @@
 	Leaving bool
 }
 
-// Instance is an instance of the system as the store lists it.
+// Instance is an instance's entry in the store.
 type Instance struct {
-	// Name is the incarnation, Addr where its peers reach it.
+	// Name identifies the incarnation, Addr is its address for peers.
 	Name string `json:"name"`
 	Addr string `json:"addr"`
-	// Zone is its data centre, Caller where it serves callers, Capacity how
-	// strong it is, in cores.
+	// Zone is its data centre, Caller its address for callers, Capacity its CPU capacity, in
+	// cores.
 	Zone     string  `json:"zone,omitempty"`
 	Caller   string  `json:"caller,omitempty"`
 	Capacity float64 `json:"capacity,omitempty"`
 }
 
-// Item is a piece to be made.
+// Item is one item of a stage that an endpoint is to process.
 type Item struct {
-	// Request names the caller's request, Stage and Piece the piece.
+	// Request identifies the caller's request, Stage and Piece the item.
 	Request string
 	Stage   int
 	Piece   int
-	// Left is how long it is of use.
+	// Left is how long the result is of use.
 	Left clock.Milli
-	// Key is what a piece of a first stage is made from; Inputs are the results
-	// that any other takes.
+	// Key is the input of an item of a first stage; Inputs are the handles of the results that an
+	// item of a later stage takes.
 	Key    string
 	Inputs []string
 }
 
 //go:generate go tool stringer -type=Flaw -linecomment -output=flaw_string.go
 
-// Flaw tells why a piece was not made.
+// Flaw is the reason why an item failed.
 type Flaw int
 
-// The flaws.
+// Reasons why an item failed.
 const (
-	// NoFlaw: it was made.
+	// NoFlaw: the item succeeded.
 	NoFlaw Flaw = iota // none
-	// Late: it was of no use any more.
+	// Late: the item's deadline has passed.
 	Late // too late
-	// InputGone: a result that it takes is gone.
+	// InputGone: an input of the item was lost.
 	InputGone // an input is gone
-	// NoRoom: its maker had no room.
+	// NoRoom: the endpoint had no storage for the result.
 	NoRoom // no room
-	// Broken: its maker failed.
+	// Broken: the endpoint failed.
 	Broken // the maker failed
 )
 
-// Made is what became of an item: a handle, or why there is none.
+// Made is the outcome of an item: the handle of its result, or the reason why there is none.
 type Made struct {
 	Handle string
 	Flaw   Flaw
 }
 
-// Document is what operators wrote. Offset orders documents, below 0 if there is
-// none; End is the end of the store's log when it was read, from where to watch.
+// Document is the operators' document. Offset orders documents, below 0 if there is none; End is the
+// end of the store's log when it was read, the offset to watch from.
 type Document struct {
 	Offset int64
 	End    int64
 	Text   []byte
 }
 
-// Dialect is one way of speaking to callers, endpoints and the store.
+// Dialect implements the protocols of callers, endpoints and the store.
 type Dialect struct {
-	// Read reads what a caller's request says of itself.
+	// Read reads the metadata of a caller's request.
 	Read func(req *http.Request) (Ask, error)
-	// Drop lists the headers, in canonical form, that callers can't set for
-	// endpoints.
+	// Drop lists the headers, in canonical form, that are removed from callers' requests before
+	// these are forwarded to endpoints.
 	Drop []string
 	// Dress sets the system's own headers on a request to an endpoint.
 	Dress func(hdr http.Header, snd Send)
-	// Reply reads an endpoint's answer. Strip takes the headers out that speak
-	// to the system only.
+	// Reply reads the metadata of an endpoint's response. Strip removes the headers that are
+	// meant for the system only.
 	Reply func(res *http.Response) Reply
 	Strip func(hdr http.Header)
-	// EventName gives the name of an event of a stream, if it has one.
+	// EventName returns the ID of a stream event, if it has one.
 	EventName func(event []byte) (string, bool)
 
-	// ReadyPath and EntriesPath are where readiness and addresses are asked for.
+	// ReadyPath and EntriesPath are the paths of the readiness check and of the entry addresses.
 	ReadyPath   string
 	EntriesPath string
-	// Entries writes the addresses that a caller may use and for how long.
+	// Entries returns the response body with the addresses that a caller may use, and how long it
+	// may keep them.
 	Entries func(addrs []string, keep clock.Milli) any
 
-	// Run has pieces made in one call. A call that the endpoint refused whole
-	// gives ErrFull.
+	// Run processes items as one batch. If the endpoint refuses the whole batch, Run returns
+	// ErrFull.
 	Run func(ctx context.Context, cli *http.Client, ep Endpoint, items []Item) ([]Made, Reply, error)
-	// Free gives results back to their maker.
+	// Free releases results at their endpoint.
 	Free func(ctx context.Context, cli *http.Client, addr string, handles []string) error
 
-	// Room asks an endpoint that makes pieces how many bytes of results it has room for, at
-	// the most.
+	// Room asks a stage endpoint for an upper bound of its free result storage, in bytes.
 	Room func(ctx context.Context, cli *http.Client, ep Endpoint) (int64, error)
 
-	// Held asks a model engine which parts of prompts it holds.
+	// Held asks a model engine which parts of prompts it has cached.
 	Held func(ctx context.Context, cli *http.Client, ep Endpoint) ([]place.Part, error)
 
-	// Compile makes a plan of a document's text.
+	// Compile compiles a document into a plan.
 	Compile func(text []byte) (*plan.Plan, []error)
-	// Store gives the client of the store at an address.
+	// Store returns the client of the store at an address.
 	Store func(addr string, cli *http.Client) Store
 }
 
-// ErrFull is the error of a call that an endpoint had no place for.
-var ErrFull = errs.New("the endpoint has no place")
+// ErrFull is returned for a batch that an endpoint had no free slot for.
+var ErrFull = errs.New("the endpoint has no free slot")
 
 // Store is the client of the store.
 type Store struct {
-	// Newest gives the document in force. Watch waits up to hold for records
-	// from an offset on, and tells whether there are any.
+	// Newest returns the document in force. Watch waits up to hold for records from an offset on,
+	// and reports whether there are any.
 	Newest func(ctx context.Context) (Document, error)
 	Watch  func(ctx context.Context, from int64, hold clock.Milli) (bool, error)
-	// Endpoints lists the endpoints, Instances the system's own, the oldest line
-	// first, with what they keep beside their lines, nil for nothing.
+	// Endpoints lists the endpoints' entries, and an error for each entry that can't be used.
+	// Instances lists the instances' entries, oldest first, together with the record that the
+	// instances keep beside them, nil for none.
 	Endpoints func(ctx context.Context) ([]Endpoint, []error, error)
 	Instances func(ctx context.Context) (list []Instance, kept []byte, err error)
-	// Announce writes our own line, Withdraw takes lines out by their names.
+	// Announce writes the instance's own entry, Withdraw removes entries by name.
 	Announce func(ctx context.Context, inst Instance) error
 	Withdraw func(ctx context.Context, names ...string) error
-	// Keep writes what the instances keep beside their lines, in place of what was kept
-	// before; nil for nothing.
+	// Keep replaces the record that the instances keep beside their entries; nil removes it.
 	Keep func(ctx context.Context, kept []byte) error
 }
