--- a/internal/talk/talk.go
+++ b/internal/talk/talk.go
@@ -31,8 +31,7 @@
 	Token string
 	// Prompt describes the prompt for a model engine; nil for plain calls.
 	Prompt *place.Prompt
-	// Pieces is the number of pieces of each stage, and PieceKey what the first
-	// stages make them from.
+	// Pieces is the number of items of each stage, and PieceKey the input of the first stages.
 	Pieces   []int
 	PieceKey string
 	// After is the ID of the last stream event that the caller has received.
@@ -41,7 +40,7 @@
 
 // Send is the metadata that the system adds to a request to an endpoint.
 type Send struct {
-	// Endpoint is who must answer; anybody else at the address refuses.
+	// Endpoint is the endpoint that must answer; any other process at the address refuses.
 	Endpoint  ident.Process
 	Workspace string
 	// Left is how long the endpoint may take.
