--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -1,9 +1,8 @@
 // Package chain links the filters that a request passes, in both kinds of instance.
 //
-// A filter either gives a result itself, and then nothing behind it sees the request, or
-// calls the next one. What a filter took, a place or a claim, it gives back when the call
-// of the next one returns; so everything is given back in the reverse order, whatever the
-// end of the request was.
+// A filter either returns a result itself, and the filters behind it don't see the request, or calls
+// the next one. What a filter acquired, such as a slot or a claim, it releases when the call of the
+// next one returns; so everything is released in reverse order, however the request ended.
 package chain
 
 import (
@@ -18,7 +17,7 @@
 // Step is one filter of a chain for requests of type C.
 type Step[C any] func(ctx context.Context, cl C, next Next[C]) outcm.Result
 
-// Link gives the chain of the steps in their order, with last behind them.
+// Link returns the chain of the steps in order, ending with last.
 func Link[C any](last Next[C], steps ...Step[C]) Next[C] {
 	head := last
 	for i := len(steps) - 1; i >= 0; i-- {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -124,7 +124,7 @@
 // use another address.
 func canceledResult(ctx context.Context, res outcm.Result) outcm.Result {
 	switch {
-	case !errors.Is(context.Cause(ctx), serve.ErrGivenUp):
+	case !errors.Is(context.Cause(ctx), serve.ErrAborted):
 		return outcm.New(res.Outcome(), outcm.CallerGone, "the caller disconnected")
 	case res.IsRefusal():
 		return outcm.Refuse(outcm.Stopping, minRetryAfter, "this instance has stopped; use another address")
--- a/internal/serve/plain.go
+++ b/internal/serve/plain.go
@@ -5,20 +5,19 @@
 	"time"
 )
 
-// Bounds of the interfaces whose limits don't change.
+// Limits of the servers whose limits are fixed.
 const (
-	maxHeader = 16 << 10
-	// HeaderTimeout bounds how long a header may take to come.
+	maxHeaderBytes = 16 << 10
+	// HeaderTimeout bounds how long a header may take to arrive.
 	HeaderTimeout = 5 * time.Second
 	idleTimeout   = 90 * time.Second
 )
 
-// Plain returns a server that bounds what a slow or hostile sender can hold. There
-// is no write timeout: streams last as long as their deadline; each event has its
-// own.
+// Plain returns a server that bounds what a slow or hostile sender can hold. It has no write timeout:
+// streams last until their deadline, and each event has a timeout of its own.
 func Plain(handler http.Handler) *http.Server {
 	return &http.Server{
-		Handler: handler, MaxHeaderBytes: maxHeader, ReadHeaderTimeout: HeaderTimeout,
+		Handler: handler, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: HeaderTimeout,
 		ReadTimeout: bodyTimeout, IdleTimeout: idleTimeout,
 	}
 }
--- a/internal/serve/queue.go
+++ b/internal/serve/queue.go
@@ -10,15 +10,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// queueListener hands out the connections that wait in the kernel's queue when it is drained.
-// The kernel resets those that nobody has accepted when a listener is closed, whatever they
-// carry; where the process gets little time, the goroutine that accepts them is late.
+// queueListener accepts the connections in the kernel's accept queue before it is closed. The kernel
+// resets connections that were not accepted when a listener is closed, also those whose requests have
+// been sent; under CPU pressure the accepting goroutine is late.
 type queueListener struct {
 	net.Listener
-	// raw is the listener that the kernel has, without what bounds it.
-	raw  net.Listener
-	mtx  sync.Mutex
-	rest []net.Conn
+	// raw is the kernel's listener, without wrappers that limit it.
+	raw      net.Listener
+	mtx      sync.Mutex
+	accepted []net.Conn
 }
 
 // Accept implements net.Listener.
@@ -29,23 +29,24 @@
 	}
 	qln.mtx.Lock()
 	defer qln.mtx.Unlock()
-	if len(qln.rest) == 0 {
+	if len(qln.accepted) == 0 {
 		return nil, err
 	}
-	con, qln.rest = qln.rest[0], qln.rest[1:]
+	con, qln.accepted = qln.accepted[0], qln.accepted[1:]
 	return con, nil
 }
 
-// drain closes the listener and keeps what waits in the kernel's queue for Accept.
+// drain closes the listener and keeps the connections of the kernel's accept queue for Accept.
 func (qln *queueListener) drain() {
 	qln.mtx.Lock()
 	defer qln.mtx.Unlock()
-	qln.rest = append(qln.rest, queued(qln.raw)...)
+	qln.accepted = append(qln.accepted, acceptQueued(qln.raw)...)
 	_ = qln.Close()
 }
 
-// queued accepts what waits in the kernel's queue, nothing if the listener has none or is closed.
-func queued(lsn net.Listener) []net.Conn {
+// acceptQueued accepts the connections in the kernel's accept queue; none if the listener has no
+// socket or is closed.
+func acceptQueued(lsn net.Listener) []net.Conn {
 	sock, ok := lsn.(syscall.Conn)
 	if !ok {
 		return nil
--- a/internal/serve/router.go
+++ b/internal/serve/router.go
@@ -11,19 +11,19 @@
 	"amaranthvalve/internal/wire"
 )
 
-// foreverWait keeps go-zero's signal handler from ending the process: on
-// SIGTERM it sleeps for this long before it would.
-const foreverWait = 1000 * time.Hour
+// shutdownNever keeps go-zero's signal handler from ending the process: on SIGTERM it sleeps for this
+// long before it would.
+const shutdownNever = 1000 * time.Hour
 
-// Router builds go-zero's router without its middlewares: each of them can
-// refuse a request (by load, breaker, time or size) in words of its own, and
-// one buffers answers, so that a stream's tokens would come all at once.
+// Router builds go-zero's router without its middlewares: each of them can refuse a request (by load,
+// breaker, time or size) with a response of its own, and one buffers responses, so that a stream's
+// tokens would arrive all at once.
 func Router(routes []rest.Route) (http.Handler, error) {
 	srv, err := rest.NewServer(rest.RestConf{
 		ServiceConf: service.ServiceConf{
 			Name:     "amvnode",
 			Mode:     service.ProMode,
-			Shutdown: proc.ShutdownConf{WrapUpTime: foreverWait, WaitTime: foreverWait},
+			Shutdown: proc.ShutdownConf{WrapUpTime: shutdownNever, WaitTime: shutdownNever},
 		},
 		Middlewares: rest.MiddlewaresConf{},
 	}, rest.WithNotFoundHandler(http.HandlerFunc(notFound)), rest.WithNotAllowedHandler(http.HandlerFunc(notAllowed)))
@@ -39,9 +39,9 @@
 }
 
 func notFound(wrt http.ResponseWriter, req *http.Request) {
-	wire.WriteJSON(wrt, http.StatusNotFound, wire.Fail{Error: "no such path: " + req.URL.Path})
+	wire.WriteJSON(wrt, http.StatusNotFound, wire.Fail{Error: "unknown path: " + req.URL.Path})
 }
 
 func notAllowed(wrt http.ResponseWriter, req *http.Request) {
-	wire.WriteJSON(wrt, http.StatusMethodNotAllowed, wire.Fail{Error: req.Method + " is not possible here"})
+	wire.WriteJSON(wrt, http.StatusMethodNotAllowed, wire.Fail{Error: req.Method + " is not allowed here"})
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -1,9 +1,8 @@
 // Package serve accepts callers' connections under limits that may change.
 //
-// net/http fixes a server's time-outs when it starts. Operators' documents change
-// them at any time, so each set of limits has a server of its own: connections are
-// accepted in one place and handed to the newest; those that an older one has stay
-// with it until they close.
+// net/http fixes a server's timeouts when it starts. Operators' documents change them at any time, so
+// each set of limits has an http.Server of its own: connections are accepted in one place and handed
+// to the newest server; those of an older one stay with it until they close.
 package serve
 
 import (
@@ -21,62 +20,61 @@
 const (
 	// bodyTimeout bounds the reading of a request, header and body.
 	bodyTimeout = 30 * time.Second
-	// headerRoom is what net/http reads of a header before it refuses in words
-	// of its own; the documents' bound lies far below and is checked later.
-	headerRoom = 256 << 10
+	// maxRawHeader is how much net/http reads of a header before it refuses with a response of
+	// its own; the documents' limit is far lower and is checked later.
+	maxRawHeader = 256 << 10
 	// Limits until the first documents are known.
-	firstHeader = 5 * clock.Second
-	firstIdle   = 30 * clock.Second
-	// handOver is how many connections may wait to be handed on.
-	handOver = 64
-	// quietStep is how often a planned stop looks whether connections are left.
-	quietStep = 5 * time.Millisecond
-	// giveUpWait is how long requests that a planned stop gives up may take to be answered.
-	giveUpWait = 100 * time.Millisecond
+	defaultHeaderTimeout = 5 * clock.Second
+	defaultIdleTimeout   = 30 * clock.Second
+	// maxPendingConns is how many accepted connections may wait for their server.
+	maxPendingConns = 64
+	// idlePollInterval is how often a planned shutdown checks whether connections are left.
+	idlePollInterval = 5 * time.Millisecond
+	// abortGrace is how long requests that a planned shutdown aborts may take to be answered.
+	abortGrace = 100 * time.Millisecond
 )
 
-// ErrGivenUp is the cause of the end of requests' contexts when a planned stop gives them up.
-var ErrGivenUp = errors.New("the instance has stopped")
+// ErrAborted is the cancellation cause of requests' contexts when a planned shutdown aborts them.
+var ErrAborted = errors.New("instance stopped: request aborted")
 
-// Limits bound a connection.
+// Limits are the timeouts of a connection.
 type Limits struct {
 	Header clock.Milli
 	Idle   clock.Milli
 }
 
-// Server accepts connections. It is made by [New].
+// Server accepts connections. It is created by [New].
 type Server struct {
 	lsn     *queueListener
 	handler http.Handler
 
 	mtx     sync.Mutex
 	limits  Limits
-	current *inlet
-	all     []*http.Server
+	newest  *connListener
+	servers []*http.Server
 	closed  bool
-	// live counts the connections that were accepted and have not ended.
-	live atomic.Int64
-	// base is the context of all requests, end gives them up.
-	base context.Context
-	end  context.CancelCauseFunc
+	// liveConns counts the connections that were accepted and have not closed.
+	liveConns atomic.Int64
+	// base is the parent context of all requests, abort cancels it.
+	base  context.Context
+	abort context.CancelCauseFunc
 }
 
 // New returns a server on a listener.
 func New(lsn net.Listener, handler http.Handler) *Server {
 	srv := &Server{lsn: &queueListener{Listener: lsn, raw: lsn}, handler: handler}
-	srv.base, srv.end = context.WithCancelCause(context.Background())
+	srv.base, srv.abort = context.WithCancelCause(context.Background())
 	srv.SetLimits(Limits{})
 	return srv
 }
 
-// SetLimits makes limits hold for the connections that come from now on; zeros
-// stand for the package's own.
+// SetLimits sets the limits of connections accepted from now on; zeros stand for the defaults.
 func (srv *Server) SetLimits(lim Limits) {
 	if lim.Header <= 0 {
-		lim.Header = firstHeader
+		lim.Header = defaultHeaderTimeout
 	}
 	if lim.Idle <= 0 {
-		lim.Idle = firstIdle
+		lim.Idle = defaultIdleTimeout
 	}
 	srv.mtx.Lock()
 	defer srv.mtx.Unlock()
@@ -84,117 +82,118 @@
 		return
 	}
 	srv.limits = lim
-	srv.current = &inlet{addr: srv.lsn.Addr(), conns: make(chan net.Conn, handOver), done: make(chan struct{})}
+	srv.newest = &connListener{addr: srv.lsn.Addr(), conns: make(chan net.Conn, maxPendingConns), done: make(chan struct{})}
 	one := &http.Server{
-		Handler: watched(srv.handler), ConnContext: withGuard, MaxHeaderBytes: headerRoom, ReadHeaderTimeout: lim.Header.Duration(),
-		ReadTimeout: bodyTimeout, IdleTimeout: lim.Idle.Duration(), ConnState: srv.note,
+		Handler: inspectHeads(srv.handler), ConnContext: withHeadConn, MaxHeaderBytes: maxRawHeader, ReadHeaderTimeout: lim.Header.Duration(),
+		ReadTimeout: bodyTimeout, IdleTimeout: lim.Idle.Duration(), ConnState: srv.countConn,
 		BaseContext: func(net.Listener) context.Context { return srv.base },
 	}
-	srv.all = append(srv.all, one)
-	go func(inl *inlet) { _ = one.Serve(inl) }(srv.current)
+	srv.servers = append(srv.servers, one)
+	go func(cln *connListener) { _ = one.Serve(cln) }(srv.newest)
 }
 
 // Serve accepts connections until the listener is closed.
 func (srv *Server) Serve() {
-	srv.live.Add(1)
-	defer srv.live.Add(-1)
+	srv.liveConns.Add(1)
+	defer srv.liveConns.Add(-1)
 	for {
 		con, err := srv.lsn.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			// Out of descriptors, mostly; they come back.
+			// Usually out of file descriptors, which is temporary.
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
 		srv.mtx.Lock()
-		inl := srv.current
+		cln := srv.newest
 		srv.mtx.Unlock()
-		srv.live.Add(1)
-		if !inl.give(con) {
-			srv.live.Add(-1)
+		srv.liveConns.Add(1)
+		if !cln.deliver(con) {
+			srv.liveConns.Add(-1)
 		}
 	}
 }
 
-// note counts the ends of connections.
-func (srv *Server) note(_ net.Conn, state http.ConnState) {
+// countConn counts closed connections.
+func (srv *Server) countConn(_ net.Conn, state http.ConnState) {
 	if state == http.StateClosed || state == http.StateHijacked {
-		srv.live.Add(-1)
+		srv.liveConns.Add(-1)
 	}
 }
 
-// Shutdown closes the listener and idle connections, and waits for requests under
-// way until the context ends. Connections that were accepted before, or wait to be, have their
-// requests answered: net/http's own Shutdown closes those without a word whose heads it hasn't read yet.
+// Shutdown closes the listener and idle connections, and waits for requests in flight until the
+// context ends. Requests on connections that were accepted before, or are in the accept queue, are
+// answered: net/http's own Shutdown closes connections whose heads it hasn't read yet without a
+// response.
 func (srv *Server) Shutdown(ctx context.Context) {
 	srv.lsn.drain()
 	srv.mtx.Lock()
 	srv.closed = true
-	all := srv.all
+	all := srv.servers
 	srv.mtx.Unlock()
 	for _, one := range all {
 		one.SetKeepAlivesEnabled(false)
 	}
-	quiet(ctx, &srv.live)
+	waitIdle(ctx, &srv.liveConns)
 }
 
-// GiveUp ends what is under way. Who has no answer yet is told what is known of the request,
-// which the end of a connection doesn't tell.
+// GiveUp aborts the requests in flight. Callers without a response get one that says whether their
+// request may have run, which a closed connection doesn't.
 func (srv *Server) GiveUp() {
-	srv.end(ErrGivenUp)
-	ctx, cancel := context.WithTimeout(context.Background(), giveUpWait)
+	srv.abort(ErrAborted)
+	ctx, cancel := context.WithTimeout(context.Background(), abortGrace)
 	defer cancel()
-	quiet(ctx, &srv.live)
+	waitIdle(ctx, &srv.liveConns)
 }
 
-// Close ends all connections at once.
+// Close closes all connections at once.
 func (srv *Server) Close() {
 	_ = srv.lsn.Close()
-	srv.end(ErrGivenUp)
+	srv.abort(ErrAborted)
 	srv.mtx.Lock()
 	defer srv.mtx.Unlock()
 	srv.closed = true
-	for _, one := range srv.all {
+	for _, one := range srv.servers {
 		_ = one.Close()
 	}
 }
 
-// inlet is the listener of one set of limits.
-type inlet struct {
+// connListener is the listener of the server with one set of limits.
+type connListener struct {
 	addr  net.Addr
 	conns chan net.Conn
 	once  sync.Once
 	done  chan struct{}
 }
 
-// give hands a connection on; false if the server has ended.
-func (inl *inlet) give(con net.Conn) bool {
+// deliver hands a connection to the server and reports whether the server still runs.
+func (cln *connListener) deliver(con net.Conn) bool {
 	select {
-	case inl.conns <- &guard{Conn: con}:
+	case cln.conns <- &headConn{Conn: con}:
 		return true
-	case <-inl.done:
+	case <-cln.done:
 		_ = con.Close()
 		return false
 	}
 }
 
 // Accept implements net.Listener.
-func (inl *inlet) Accept() (net.Conn, error) {
+func (cln *connListener) Accept() (net.Conn, error) {
 	select {
-	case con := <-inl.conns:
+	case con := <-cln.conns:
 		return con, nil
-	case <-inl.done:
+	case <-cln.done:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements net.Listener.
-func (inl *inlet) Close() error {
-	inl.once.Do(func() { close(inl.done) })
+func (cln *connListener) Close() error {
+	cln.once.Do(func() { close(cln.done) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (inl *inlet) Addr() net.Addr { return inl.addr }
+func (cln *connListener) Addr() net.Addr { return cln.addr }
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -13,7 +13,7 @@
 	"github.com/onsi/gomega"
 )
 
-// lateListener hands out one connection that was accepted right as it was closed.
+// lateListener returns one connection that was accepted just as the listener was closed.
 type lateListener struct {
 	net.Listener
 	con    net.Conn
@@ -37,11 +37,11 @@
 	return nil
 }
 
-func answering() http.Handler {
+func wholeHandler() http.Handler {
 	return http.HandlerFunc(func(wrt http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(wrt, "whole") })
 }
 
-// Guards against requests that are dropped on connections accepted as the listener closes.
+// Guards against requests that are dropped on connections accepted while the listener closes.
 func TestAcceptedAsTheListenerCloses(t *testing.T) {
 	for range 8 {
 		gom := gomega.NewWithT(t)
@@ -53,13 +53,13 @@
 		gom.Expect(err).NotTo(gomega.HaveOccurred())
 		_, err = io.WriteString(out, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 		gom.Expect(err).NotTo(gomega.HaveOccurred())
-		srv := New(&lateListener{Listener: lsn, con: con, closed: make(chan struct{})}, answering())
+		srv := New(&lateListener{Listener: lsn, con: con, closed: make(chan struct{})}, wholeHandler())
 		ended := make(chan struct{})
 		go func() {
 			srv.Serve()
 			close(ended)
 		}()
-		// The acceptor must have begun, as that of an instance has.
+		// The accept loop must be running, as it is in an instance.
 		time.Sleep(5 * time.Millisecond)
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		srv.Shutdown(ctx)
@@ -76,18 +76,18 @@
 	}
 }
 
-// lateAcceptor accepts nothing until it is let.
-type lateAcceptor struct {
+// heldListener accepts nothing until it is released.
+type heldListener struct {
 	*net.TCPListener
-	let chan struct{}
+	release chan struct{}
 }
 
-func (lsn *lateAcceptor) Accept() (net.Conn, error) {
-	<-lsn.let
+func (lsn *heldListener) Accept() (net.Conn, error) {
+	<-lsn.release
 	return lsn.TCPListener.Accept()
 }
 
-// queuedRequests dials a listener that nobody accepts from and sends a request on each connection.
+// queuedRequests dials a listener whose connections are not accepted and sends a request on each.
 func queuedRequests(t *testing.T, lsn net.Listener, count int) []net.Conn {
 	var outs []net.Conn
 	for range count {
@@ -104,16 +104,16 @@
 	return outs
 }
 
-// Guards against requests that the kernel resets because a stop closes the listener before
-// their connections were accepted.
+// Guards against requests that the kernel resets because a shutdown closes the listener before their
+// connections were accepted.
 func TestQueuedAsTheListenerCloses(t *testing.T) {
 	for name, begin := range map[string]func(lsn net.Listener) (serve, shutdown func()){
 		"with limits that change": func(lsn net.Listener) (serve, shutdown func()) {
-			srv := New(lsn, answering())
+			srv := New(lsn, wholeHandler())
 			return srv.Serve, func() { srv.Shutdown(t.Context()) }
 		},
 		"plain": func(lsn net.Listener) (serve, shutdown func()) {
-			drn := NewDraining(answering(), lsn, 2)
+			drn := NewDraining(wholeHandler(), lsn, 2)
 			return drn.Serve, func() { drn.Shutdown(t.Context()) }
 		},
 	} {
@@ -121,15 +121,15 @@
 			gom := gomega.NewWithT(t)
 			tcp, err := net.Listen("tcp", "127.0.0.1:0")
 			gom.Expect(err).NotTo(gomega.HaveOccurred())
-			lsn := &lateAcceptor{TCPListener: tcp.(*net.TCPListener), let: make(chan struct{})}
+			lsn := &heldListener{TCPListener: tcp.(*net.TCPListener), release: make(chan struct{})}
 			serve, shutdown := begin(lsn)
 			outs := queuedRequests(t, lsn, 5)
 			go serve()
 			time.Sleep(20 * time.Millisecond)
 			go shutdown()
 			time.Sleep(20 * time.Millisecond)
-			// Only now does the goroutine that accepts get time.
-			close(lsn.let)
+			// Only now does the accepting goroutine run.
+			close(lsn.release)
 			for _, out := range outs {
 				_ = out.SetReadDeadline(time.Now().Add(time.Second))
 				res, err := http.ReadResponse(bufio.NewReader(out), nil)
@@ -140,12 +140,12 @@
 	}
 }
 
-// Guards against requests that net/http drops because their heads come after Shutdown began.
-func TestRequestComesRightAfterTheListenerClosed(t *testing.T) {
+// Guards against requests that net/http drops because their heads arrive after Shutdown began.
+func TestRequestRightAfterShutdownBegan(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	lsn, err := net.Listen("tcp", "127.0.0.1:0")
 	gom.Expect(err).NotTo(gomega.HaveOccurred())
-	srv := New(lsn, answering())
+	srv := New(lsn, wholeHandler())
 	go srv.Serve()
 	out, err := net.Dial("tcp", lsn.Addr().String())
 	gom.Expect(err).NotTo(gomega.HaveOccurred())
@@ -168,12 +168,12 @@
 	gom.Expect(time.Since(began)).To(gomega.BeNumerically("<", 500*time.Millisecond))
 }
 
-// Guards against a stop that waits beyond its time for a connection on which nothing comes.
-func TestEndsThoughAConnectionStaysSilent(t *testing.T) {
+// Guards against a shutdown that exceeds its timeout because of a connection on which nothing arrives.
+func TestShutdownIsBoundedWithAnIdleConnection(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	lsn, err := net.Listen("tcp", "127.0.0.1:0")
 	gom.Expect(err).NotTo(gomega.HaveOccurred())
-	srv := New(lsn, answering())
+	srv := New(lsn, wholeHandler())
 	go srv.Serve()
 	out, err := net.Dial("tcp", lsn.Addr().String())
 	gom.Expect(err).NotTo(gomega.HaveOccurred())
