--- a/internal/front/slow.go
+++ b/internal/front/slow.go
@@ -31,9 +31,9 @@
 	if !cl.route.Repeatable() || run.mayHaveRun+1 >= cl.route.Attempts() || len(cl.inputs) > 0 || cl.trial {
 		return time.NewTimer(maxRequestTime.Duration())
 	}
-	careful := fr.firstByteTimes.upperBound(cl.route.Name(), cl.route.Goal(), fr.set.Clock.Now())
+	bound := fr.firstByteTimes.upperBound(cl.route.Name(), cl.route.Goal(), fr.set.Clock.Now())
 	ticket, ask := cl.ticket(), cl.placeAsk(slices.Clone(run.avoid))
-	return time.AfterFunc(max(minSlowDelay, slowFactor*careful).Duration(), func() {
+	return time.AfterFunc(max(minSlowDelay, slowFactor*bound).Duration(), func() {
 		next, ok := run.reserveNext(ctx, ticket, ask)
 		if !ok {
 			return
