--- /dev/null
+++ b/internal/batch/coalesce_test.go
@@ -0,0 +1,43 @@
+package batch
+
+import (
+	"context"
+	"fmt"
+	"testing"
+
+	"github.com/onsi/gomega"
+
+	"amaranthvalve/pkg/clock"
+)
+
+// numWaiting returns the number of waiting items.
+func (pol *pool) numWaiting() int {
+	pol.mtx.Lock()
+	defer pol.mtx.Unlock()
+	return pol.sched.Waiting()
+}
+
+// TestConcurrentOrdersAreCoalesced checks that the orders of three requests that were served by one
+// call of the previous stage, and arrive one after the other from several instances, share one
+// batch. Without the delay the first went alone, and the others waited for another endpoint.
+func TestConcurrentOrdersAreCoalesced(t *testing.T) {
+	gom := gomega.NewWithT(t)
+	timers := make(chan func(), 9)
+	fxt := newFixtureWith(20, func(_ clock.Milli, work func()) { timers <- work })
+	ends := make(chan Filled, 3)
+	for i := range 3 {
+		go func() {
+			ends <- fxt.desk.Make(context.Background(), Order{
+				Pool: "ranks", Request: fmt.Sprint(i), Count: 2, Key: "k", Due: 20 * clock.Second, Until: 30 * clock.Second,
+			})
+		}()
+	}
+	gom.Eventually(fxt.desk.pool("ranks").numWaiting, soon).Should(gomega.Equal(6))
+	gom.Expect(fxt.calls).To(gomega.BeEmpty())
+	(<-timers)()
+	gom.Eventually(fxt.calls, soon).Should(gomega.Receive(gomega.HaveLen(6)))
+	fxt.errs <- nil
+	for range 3 {
+		gom.Eventually(ends, soon).Should(gomega.Receive())
+	}
+}
--- a/internal/batch/ended_test.go
+++ b/internal/batch/crash_test.go
@@ -15,25 +15,25 @@
 	"amaranthvalve/pkg/ident"
 )
 
-// Guards against requests that are suspected of each end of an endpoint because their pieces go
-// into one call with those of the request that ends it, again and again.
-func TestPiecesGoAloneAfterAnEnd(t *testing.T) {
+// Guards against requests that are suspected of every crash of an endpoint because their items keep
+// sharing batches with those of the request that causes the crashes.
+func TestItemsRunAloneAfterCrash(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	bnc := newBench(20)
-	bnc.desk.pool("ranks").set.Ended = func(context.Context, string) bool { return true }
+	fxt := newFixture(20)
+	fxt.desk.pool("ranks").set.Ended = func(context.Context, string) bool { return true }
 	ends := make(chan Filled, 3)
 	for i := range 3 {
 		go func() {
-			ends <- bnc.desk.Make(context.Background(), Order{
+			ends <- fxt.desk.Make(context.Background(), Order{
 				Pool: "ranks", Request: fmt.Sprint(i), Count: 1, Key: "k", Due: 20 * clock.Second, Until: 30 * clock.Second,
 			})
 		}()
 	}
-	gom.Eventually(bnc.begun, soon).Should(gomega.Receive(gomega.HaveLen(3)))
-	bnc.ends <- errors.New("connection reset")
+	gom.Eventually(fxt.calls, soon).Should(gomega.Receive(gomega.HaveLen(3)))
+	fxt.errs <- errors.New("connection reset")
 	for range 3 {
-		gom.Eventually(bnc.begun, soon).Should(gomega.Receive(gomega.HaveLen(1)))
-		bnc.ends <- nil
+		gom.Eventually(fxt.calls, soon).Should(gomega.Receive(gomega.HaveLen(1)))
+		fxt.errs <- nil
 	}
 	for range 3 {
 		var fld Filled
@@ -42,21 +42,21 @@
 	}
 }
 
-// Guards against endpoints that count as ended under a request although they only cut a
-// connection, or had ended before the call.
-func TestACutCallIsNoEnd(t *testing.T) {
+// Guards against counting a crash against a request when the endpoint only cut a connection, or had
+// ended before the call.
+func TestCutConnectionIsNoCrash(t *testing.T) {
 	refused := talk.Error.Wrap(&net.OpError{Op: "dial", Err: syscall.ECONNREFUSED})
 	for _, tst := range []struct {
 		err   error
 		ended bool
 	}{{errors.New("connection reset"), false}, {refused, true}} {
 		gom := gomega.NewWithT(t)
-		bnc := newBench(20)
-		bnc.desk.pool("ranks").set.Ended = func(context.Context, string) bool { return tst.ended }
-		out := bnc.order()
+		fxt := newFixture(20)
+		fxt.desk.pool("ranks").set.Ended = func(context.Context, string) bool { return tst.ended }
+		out := fxt.order()
 		for _, err := range []error{tst.err, nil} {
-			gom.Eventually(bnc.begun, soon).Should(gomega.Receive())
-			bnc.ends <- err
+			gom.Eventually(fxt.calls, soon).Should(gomega.Receive())
+			fxt.errs <- err
 		}
 		var fld Filled
 		gom.Eventually(out, soon).Should(gomega.Receive(&fld))
--- a/internal/batch/desk.go
+++ b/internal/batch/desk.go
@@ -16,41 +16,42 @@
 	"amaranthvalve/pkg/plan"
 )
 
-// Setup is what a desk is made of.
+// Setup holds the dependencies and settings of a [Desk].
 type Setup struct {
 	Dialect *talk.Dialect
 	Client  *http.Client
 	Clock   clock.Clock
 	Meter   *meter.Meter
 	Log     zerolog.Logger
-	// Share is the part of a pool's pieces that may be made again when their results were
-	// lost. Beyond it, in each Window at most Reserve pieces are sent again. Half of
-	// them may be at once; the other half comes back evenly.
+	// Share is the fraction of a pool's items that may be recomputed after their results were lost.
+	// Beyond it, at most Reserve items are retried in each Window: half of them may be retried in
+	// one burst, the other half becomes available at an even rate.
 	Share   float64
 	Reserve float64
 	Window  clock.Milli
-	// Fetched is told of results that have been fetched by all that take them, to be
-	// given back.
+	// Fetched is called with inputs that all their consumers have fetched, so that they can be
+	// released.
 	Fetched func(lots []Lot)
-	// After runs work once a span has passed; nil for the runtime's timers.
+	// After runs work after a delay; nil selects the runtime's timers.
 	After func(span clock.Milli, work func())
-	// Gone is told of an endpoint whose address answers as another one.
+	// Gone is called for an endpoint at whose address another endpoint answers.
 	Gone func(id ident.Process, why string)
-	// Ended tells whether the process at an address has ended; nil if it can't be told.
+	// Ended reports whether the process at an address has crashed or exited; nil disables the
+	// check.
 	Ended func(ctx context.Context, addr string) bool
-	// Keeps gives the part of the rates of a pool's endpoints that this instance may send; nil
-	// for all.
+	// Keeps returns the fraction of the declared rates of a pool's endpoints that this instance may
+	// use; nil selects all of it.
 	Keeps func(pool string) float64
 }
 
-// Desk gathers the pieces of all pools that fall to this instance.
+// Desk batches the items of all pools that this instance coordinates.
 type Desk struct {
 	set   Setup
 	mtx   sync.Mutex
 	pools map[string]*pool
 }
 
-// New returns a desk without pools.
+// New returns a batcher without pools.
 func New(set Setup) *Desk {
 	if set.After == nil {
 		set.After = afterFunc
@@ -58,8 +59,8 @@
 	return &Desk{set: set, pools: map[string]*pool{}}
 }
 
-// Sync takes the pools of a plan, the endpoints that are known, and the rates that some of these
-// name, in requests a second.
+// Sync updates the pools of a plan, the known endpoints, and the declared rates of some of these,
+// in requests per second.
 func (dsk *Desk) Sync(pln *plan.Plan, endpoints []talk.Endpoint, rates map[string]float64) {
 	if pln == nil {
 		return
@@ -86,17 +87,16 @@
 	return pol
 }
 
-// Make has an order filled. It returns when all pieces are made, when one can't
-// be, or when the context ends; then what was made is given back.
+// Make fills an order. It returns when all items are done, when one has failed for good, or when
+// the context ends; in the last two cases the results made so far are released.
 func (dsk *Desk) Make(ctx context.Context, ask Order) Filled {
 	return dsk.pool(ask.Pool).fill(ctx, ask)
 }
 
-// Free gives results back to their makers.
+// Free releases results at the endpoints that hold them.
 func (dsk *Desk) Free(frd Freed) { dsk.pool(frd.Pool).free(frd.Results) }
 
-// Wait estimates how long a piece added now would wait, for a pool that is
-// gathered here.
+// Wait estimates how long an item added now would wait in a pool coordinated by this instance.
 func (dsk *Desk) Wait(name string) clock.Milli { return dsk.pool(name).wait() }
 
 func afterFunc(span clock.Milli, work func()) { time.AfterFunc(span.Duration(), work) }
--- a/internal/batch/doc.go
+++ b/internal/batch/doc.go
@@ -1,12 +1,11 @@
-// Package batch gathers pieces of stages: it keeps a pool's book (package gather),
-// makes the calls that the book asks for, and answers whoever wants the pieces.
+// Package batch batches the items of stages: it keeps the scheduler of each pool (package gather),
+// makes the calls that the scheduler selects, and returns the results.
 //
-// An [Order] is the pieces of one stage of one request. It comes from a request at
-// this instance or, over the link, from another one, and is answered whole: every
-// piece with its handle, or why one could not be made. What an order leaves behind
-// when its asker goes away is cleared up here: pieces that wait are withdrawn, and
-// results that come later are given back to their makers.
+// An [Order] consists of the items of one stage of one request. It comes from a request at this
+// instance or, over the link, from another instance, and is answered as a whole: with a handle for
+// every item, or with the reason why one failed. When the caller of an order goes away, its waiting
+// items are withdrawn, and results that arrive later are released at their endpoints.
 //
-// Pieces that failed are made again within the pool's retry budget, which this
-// instance keeps for all while it gathers the pool.
+// Failed items are retried within the pool's retry budget, which the coordinator of the pool
+// enforces for all instances.
 package batch
--- a/internal/batch/fetch.go
+++ b/internal/batch/fetch.go
@@ -8,84 +8,84 @@
 )
 
 const (
-	// fetchLeast is how long a call is under way at the least before its endpoint is
-	// taken to have fetched what the pieces are made from: the call's own way there
-	// and the fetches' ways take a few milliseconds each.
-	fetchLeast = 60 * clock.Milli(1)
-	// fetchTimes is how many times as long as they take alone the fetches of a call
-	// may take: others use the same links.
-	fetchTimes = 4
-	// heldFor is how long inputs are held to a call's end after some that had been given
-	// back were found gone. Another instance gathers here too, and its calls are worked on
-	// before ours begin; such a time ends when the members agree again.
-	heldFor = 3 * clock.Second
+	// minFetchTime is the minimum time after which a call's endpoint is assumed to have fetched the
+	// inputs: the call itself and the fetches take a few milliseconds each to arrive.
+	minFetchTime = 60 * clock.Milli(1)
+	// fetchTimeFactor allows for other transfers on the same links: the fetches of a call may take
+	// this many times as long as on an idle link.
+	fetchTimeFactor = 4
+	// inputHoldTime is how long inputs are held until their calls end after an endpoint found
+	// inputs already released. That happens while a second instance coordinates the pool and its
+	// calls are processed before ours; it stops once the members agree again.
+	inputHoldTime = 3 * clock.Second
 )
 
-// fetch is how far an order is with fetching its inputs.
+// fetchState tracks which items of an order have fetched their inputs.
 //
-// An endpoint fetches inputs at the beginning of a call and works for some hundred
-// milliseconds then. Inputs that were held until the call's end took two thirds of
-// the room that results had, and where room is short a pool's endpoints stand idle
-// for want of it. They are given back after the fetch. The price: a call that fails
-// later can't be repeated, its inputs must be made again first.
-type fetch struct {
-	// done tells of each piece whether its endpoint has fetched the inputs.
-	done  []bool
-	count int
-	// over tells that the inputs were given back.
-	over bool
+// An endpoint fetches inputs at the beginning of a call and then works for some hundred
+// milliseconds. Holding inputs until the end of the call took two thirds of the result storage, and
+// where storage is short the pool's endpoints were idle for lack of it. Inputs are therefore
+// released after the fetch. In return, a call that fails later can't be retried before its inputs
+// have been recomputed.
+type fetchState struct {
+	// done is true for each item whose endpoint has fetched the inputs.
+	done    []bool
+	numDone int
+	// released is set once the inputs have been released.
+	released bool
 }
 
-func (fch *fetch) set(index, size int, done bool) {
-	if fch.done == nil {
-		fch.done = make([]bool, size)
+func (fst *fetchState) set(index, size int, done bool) {
+	if fst.done == nil {
+		fst.done = make([]bool, size)
 	}
-	if fch.done[index] == done {
+	if fst.done[index] == done {
 		return
 	}
-	fch.done[index] = done
+	fst.done[index] = done
 	if done {
-		fch.count++
+		fst.numDone++
 	} else {
-		fch.count--
+		fst.numDone--
 	}
 }
 
-// fetchTime gives how long after its beginning a call's inputs are fetched for certain.
+// fetchTime returns the time after the beginning of a call at which its inputs are assumed to be
+// fetched.
 func (pol *pool) fetchTime(bat gather.Batch) time.Duration {
 	pol.mtx.Lock()
 	defer pol.mtx.Unlock()
 	var bytes int64
 	for _, pc := range bat.Pieces {
-		if slt, ok := pol.slots[pc.ID]; ok {
-			bytes += slt.ord.InputBytes
+		if ref, ok := pol.refs[pc.ID]; ok {
+			bytes += ref.ord.InputBytes
 		}
 	}
-	span := fetchLeast.Duration()
-	if pol.link > 0 {
-		span += time.Duration(fetchTimes * float64(bytes) * 8 / pol.link * float64(time.Microsecond))
+	span := minFetchTime.Duration()
+	if pol.linkMbps > 0 {
+		span += time.Duration(fetchTimeFactor * float64(bytes) * 8 / pol.linkMbps * float64(time.Microsecond))
 	}
 	return span
 }
 
-// fetched notes that the endpoint of a call has the inputs of its pieces. Inputs that
-// nobody else takes are given back once all pieces of their order have them.
-func (pol *pool) fetched(bat gather.Batch) {
+// inputsFetched records that the endpoint of a call has fetched the inputs of its items. Inputs
+// without another consumer are released once all items of their order have fetched them.
+func (pol *pool) inputsFetched(bat gather.Batch) {
 	pol.mtx.Lock()
 	defer pol.mtx.Unlock()
-	if pol.set.Clock.Now() < pol.holdUntil {
+	if pol.set.Clock.Now() < pol.holdInputsUntil {
 		return
 	}
 	for _, pc := range bat.Pieces {
-		slt, ok := pol.slots[pc.ID]
-		if !ok || slt.ord.ended {
+		ref, ok := pol.refs[pc.ID]
+		if !ok || ref.ord.completed {
 			continue
 		}
-		ord := slt.ord
-		ord.fetch.set(slt.index, ord.Count, true)
-		if ord.fetch.count == ord.Count && !ord.fetch.over && len(ord.Last) > 0 {
-			ord.fetch.over = true
-			// They may be results of this very pool.
+		ord := ref.ord
+		ord.fetch.set(ref.index, ord.Count, true)
+		if ord.fetch.numDone == ord.Count && !ord.fetch.released && len(ord.Last) > 0 {
+			ord.fetch.released = true
+			// In a goroutine, because the inputs may be results of this pool, whose lock is held.
 			go pol.set.Fetched(ord.Last)
 		}
 	}
--- a/internal/batch/fetch_test.go
+++ b/internal/batch/fetch_test.go
@@ -17,30 +17,30 @@
 	"amaranthvalve/pkg/plan"
 )
 
-// bench is a desk with one pool, whose one endpoint answers calls as told.
-type bench struct {
+// fixture is a batcher with one pool of one endpoint whose answers are scripted.
+type fixture struct {
 	desk *Desk
-	// begun has the calls that the endpoint got, ends what it is to answer them with;
-	// flaw is what it says of each piece.
-	begun chan []talk.Item
-	ends  chan error
+	// calls receives the calls that the endpoint gets, errs supplies their errors, and flaw is the
+	// flaw reported for each item.
+	calls chan []talk.Item
+	errs  chan error
 	flaw  atomic.Int64
-	// back has the lots that were given back.
-	back chan Lot
+	// released receives the lots that are released.
+	released chan Lot
 }
 
-func newBench(most int) *bench { return newBenchWith(most, nil) }
+func newFixture(most int) *fixture { return newFixtureWith(most, nil) }
 
-// newBenchWith has a desk whose timers are as given.
-func newBenchWith(most int, after func(clock.Milli, func())) *bench {
-	bnc := &bench{begun: make(chan []talk.Item, 9), ends: make(chan error, 9), back: make(chan Lot, 9)}
+// newFixtureWith uses the given timers.
+func newFixtureWith(most int, after func(clock.Milli, func())) *fixture {
+	fxt := &fixture{calls: make(chan []talk.Item, 9), errs: make(chan error, 9), released: make(chan Lot, 9)}
 	dia := &talk.Dialect{
 		Run: func(_ context.Context, _ *http.Client, _ talk.Endpoint, items []talk.Item) ([]talk.Made, talk.Reply, error) {
-			bnc.begun <- items
-			err := <-bnc.ends
+			fxt.calls <- items
+			err := <-fxt.errs
 			made := make([]talk.Made, len(items))
 			for i := range made {
-				if made[i].Flaw = talk.Flaw(bnc.flaw.Load()); made[i].Flaw == talk.NoFlaw {
+				if made[i].Flaw = talk.Flaw(fxt.flaw.Load()); made[i].Flaw == talk.NoFlaw {
 					made[i].Handle = items[i].Request
 				}
 			}
@@ -48,27 +48,27 @@
 		},
 		Free: func(context.Context, *http.Client, string, []string) error { return nil },
 	}
-	bnc.desk = New(Setup{
+	fxt.desk = New(Setup{
 		Dialect: dia, After: after, Meter: meter.New(), Log: zerolog.Nop(), Share: 0.1, Reserve: 10, Window: 10 * clock.Second,
 		Fetched: func(lots []Lot) {
 			for _, lot := range lots {
-				bnc.back <- lot
+				fxt.released <- lot
 			}
 		},
 	})
 	pln, _ := plan.Compile(plan.Draft{Pools: []plan.DraftPool{{
 		Name: "ranks", Batch: &plan.DraftBatch{Places: 1, Most: most, Call: 1000, Item: 1, Link: 1000},
 	}}})
-	bnc.desk.Sync(pln, []talk.Endpoint{{ID: "rank-1", Pool: "ranks", Addr: "a:1"}}, nil)
-	return bnc
+	fxt.desk.Sync(pln, []talk.Endpoint{{ID: "rank-1", Pool: "ranks", Addr: "a:1"}}, nil)
+	return fxt
 }
 
-// order has two pieces made from one lot.
-func (bnc *bench) order() chan Filled {
+// order places an order of two items that share one lot of inputs.
+func (fxt *fixture) order() chan Filled {
 	out := make(chan Filled, 1)
 	lot := Lot{Home: "here:1", Freed: Freed{Pool: "notes", Results: []Handle{{Name: "note-1"}}}}
 	go func() {
-		out <- bnc.desk.Make(context.Background(), Order{
+		out <- fxt.desk.Make(context.Background(), Order{
 			Pool: "ranks", Request: "r1", Stage: 1, Count: 2, Inputs: []string{"note-1"}, InputBytes: 1000,
 			Last: []Lot{lot}, Due: 20 * clock.Second, Until: 30 * clock.Second,
 		})
@@ -78,118 +78,118 @@
 
 const soon = 5 * time.Second
 
-// TestInputsGoBackOnceFetched: a call is under way for a second, and its endpoint
-// fetched the inputs in the first moment. They are given back while it still works:
-// held to its end they took the room of the next requests' inputs, and the pool that
-// makes these stood still.
-func TestInputsGoBackOnceFetched(t *testing.T) {
+// TestInputsAreReleasedOnceFetched guards against holding inputs until the end of a call: they are
+// released while the endpoint, which fetched them at the beginning, still works. Held to the end
+// they took the storage for the next requests' inputs, and the pool that makes these was idle.
+func TestInputsAreReleasedOnceFetched(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	bnc := newBench(2)
-	filled := bnc.order()
-	gom.Eventually(bnc.begun, soon).Should(gomega.Receive(gomega.HaveLen(2)))
-	gom.Eventually(bnc.back, soon).Should(gomega.Receive(gomega.HaveField("Home", "here:1")))
+	fxt := newFixture(2)
+	filled := fxt.order()
+	gom.Eventually(fxt.calls, soon).Should(gomega.Receive(gomega.HaveLen(2)))
+	gom.Eventually(fxt.released, soon).Should(gomega.Receive(gomega.HaveField("Home", "here:1")))
 	gom.Expect(filled).To(gomega.BeEmpty(), "the call has not ended")
-	bnc.ends <- nil
+	fxt.errs <- nil
 	var fld Filled
 	gom.Eventually(filled, soon).Should(gomega.Receive(&fld))
 	gom.Expect(fld.Fetched).To(gomega.BeTrue())
 	gom.Expect(fld.Results).To(gomega.HaveLen(2))
 }
 
-// TestInputsStayForTheOthers: the two pieces of a job go into two calls, one after the
-// other. The inputs stay until the second has fetched them too.
-func TestInputsStayForTheOthers(t *testing.T) {
+// TestInputsAreHeldForOtherBatches checks that the inputs of a job whose two items go into two
+// successive batches are held until the second batch has fetched them too.
+func TestInputsAreHeldForOtherBatches(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	bnc := newBench(1)
-	filled := bnc.order()
-	gom.Eventually(bnc.begun, soon).Should(gomega.Receive())
-	gom.Consistently(bnc.back, 4*fetchLeast.Duration()).ShouldNot(gomega.Receive())
-	bnc.ends <- nil
-	gom.Eventually(bnc.begun, soon).Should(gomega.Receive())
-	gom.Eventually(bnc.back, soon).Should(gomega.Receive())
-	bnc.ends <- nil
+	fxt := newFixture(1)
+	filled := fxt.order()
+	gom.Eventually(fxt.calls, soon).Should(gomega.Receive())
+	gom.Consistently(fxt.released, 4*minFetchTime.Duration()).ShouldNot(gomega.Receive())
+	fxt.errs <- nil
+	gom.Eventually(fxt.calls, soon).Should(gomega.Receive())
+	gom.Eventually(fxt.released, soon).Should(gomega.Receive())
+	fxt.errs <- nil
 	gom.Eventually(filled, soon).Should(gomega.Receive(gomega.HaveField("Flaw", talk.NoFlaw)))
 }
 
-// TestFailedAfterTheFetch: a call fails when its inputs have been given back. It is not
-// repeated, for it would have the time of a call and find nothing; whoever asked is
-// told that the inputs are gone, and has them made again.
-func TestFailedAfterTheFetch(t *testing.T) {
+// TestFailureAfterFetchIsNotRetried checks that a call which fails after its inputs were released
+// is not retried: a retry would take the time of a call and find no inputs. The caller gets
+// InputGone and has the inputs recomputed.
+func TestFailureAfterFetchIsNotRetried(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	bnc := newBench(2)
-	filled := bnc.order()
-	gom.Eventually(bnc.back, soon).Should(gomega.Receive())
-	bnc.ends <- errors.New("the endpoint died")
+	fxt := newFixture(2)
+	filled := fxt.order()
+	gom.Eventually(fxt.released, soon).Should(gomega.Receive())
+	fxt.errs <- errors.New("the endpoint died")
 	gom.Eventually(filled, soon).Should(gomega.Receive(gomega.And(
 		gomega.HaveField("Flaw", talk.InputGone), gomega.HaveField("Fetched", true))))
-	gom.Expect(bnc.begun).To(gomega.HaveLen(1))
+	gom.Expect(fxt.calls).To(gomega.HaveLen(1))
 }
 
-// TestHeldWhileOthersGather: another instance gathers the pool too, and its call is worked
-// on before ours, which finds its inputs given back. For a while inputs are held to the
-// end of each call: each that is lost costs the time of two stages.
-func TestHeldWhileOthersGather(t *testing.T) {
+// TestInputsAreHeldWhileCoordinatorsOverlap covers two instances that coordinate the pool at the
+// same time: the other one's call is processed first, and our call finds its inputs released. For a
+// while inputs are then held to the end of each call, because each lost input costs the time of two
+// stages.
+func TestInputsAreHeldWhileCoordinatorsOverlap(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	bnc := newBench(2)
-	bnc.flaw.Store(int64(talk.InputGone))
-	filled := bnc.order()
-	gom.Eventually(bnc.back, soon).Should(gomega.Receive())
-	bnc.ends <- nil
+	fxt := newFixture(2)
+	fxt.flaw.Store(int64(talk.InputGone))
+	filled := fxt.order()
+	gom.Eventually(fxt.released, soon).Should(gomega.Receive())
+	fxt.errs <- nil
 	gom.Eventually(filled, soon).Should(gomega.Receive(gomega.HaveField("Flaw", talk.InputGone)))
 
-	bnc.flaw.Store(int64(talk.NoFlaw))
-	filled = bnc.order()
-	gom.Consistently(bnc.back, 4*fetchLeast.Duration()).ShouldNot(gomega.Receive())
-	bnc.ends <- nil
+	fxt.flaw.Store(int64(talk.NoFlaw))
+	filled = fxt.order()
+	gom.Consistently(fxt.released, 4*minFetchTime.Duration()).ShouldNot(gomega.Receive())
+	fxt.errs <- nil
 	gom.Eventually(filled, soon).Should(gomega.Receive(gomega.HaveField("Fetched", false)))
 }
 
-// TestFailedBeforeTheFetch: a call fails at once, while its inputs are still held. Its
-// pieces are made by another call.
-func TestFailedBeforeTheFetch(t *testing.T) {
+// TestFailureBeforeFetchIsRetried checks that the items of a call which fails while its inputs are
+// still held are made by another call.
+func TestFailureBeforeFetchIsRetried(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	bnc := newBench(2)
-	bnc.ends <- errors.New("the connection was refused")
-	filled := bnc.order()
-	gom.Eventually(bnc.begun, soon).Should(gomega.Receive())
-	gom.Eventually(bnc.begun, soon).Should(gomega.Receive())
-	bnc.ends <- nil
+	fxt := newFixture(2)
+	fxt.errs <- errors.New("the connection was refused")
+	filled := fxt.order()
+	gom.Eventually(fxt.calls, soon).Should(gomega.Receive())
+	gom.Eventually(fxt.calls, soon).Should(gomega.Receive())
+	fxt.errs <- nil
 	gom.Eventually(filled, soon).Should(gomega.Receive(gomega.HaveField("Flaw", talk.NoFlaw)))
 }
 
-// TestMakingAgainIsBounded: pieces whose results were lost are made again within the
-// pool's retry budget, for all that lost some ask at the same moment.
-func TestMakingAgainIsBounded(t *testing.T) {
+// TestRecomputationIsBounded checks that items whose results were lost are recomputed only within
+// the pool's retry budget, since all requests that lost some ask at the same time.
+func TestRecomputationIsBounded(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	bnc := newBench(2)
+	fxt := newFixture(2)
 	ask := Order{Pool: "ranks", Request: "r1", Count: 3, Again: true, Due: 20 * clock.Second, Until: 30 * clock.Second}
 	for range 4 {
-		bnc.ends <- nil
+		fxt.errs <- nil
 	}
-	gom.Expect(bnc.desk.Make(context.Background(), ask).Flaw).To(gomega.Equal(talk.NoFlaw))
-	gom.Expect(bnc.desk.Make(context.Background(), ask).Flaw).To(gomega.Equal(talk.InputGone))
+	gom.Expect(fxt.desk.Make(context.Background(), ask).Flaw).To(gomega.Equal(talk.NoFlaw))
+	gom.Expect(fxt.desk.Make(context.Background(), ask).Flaw).To(gomega.Equal(talk.InputGone))
 }
 
-// Guards against requests that are refused at a busy pool because a few of its many results
-// were lost.
-func TestMakingAgainGrowsWithTheOrders(t *testing.T) {
+// Guards against a busy pool that refuses requests because a few of its many results were lost.
+func TestRecomputationBudgetGrowsWithOrders(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	bnc := newBench(2)
+	fxt := newFixture(2)
 	ask := Order{Pool: "ranks", Request: "r1", Count: 2, Due: 20 * clock.Second, Until: 30 * clock.Second}
 	order := func() talk.Flaw {
-		bnc.ends <- nil
-		fld := bnc.desk.Make(context.Background(), ask)
-		gom.Expect(bnc.begun).To(gomega.Receive())
+		fxt.errs <- nil
+		fld := fxt.desk.Make(context.Background(), ask)
+		gom.Expect(fxt.calls).To(gomega.Receive())
 		return fld.Flaw
 	}
 	for range 60 {
 		gom.Expect(order()).To(gomega.Equal(talk.NoFlaw))
 	}
-	// As many by the share, as the part of the reserve that may be used at once.
+	// Two recomputations out of the share, and two out of the part of the reserve that may be used
+	// in one burst.
 	ask.Again = true
 	for range 4 {
 		gom.Expect(order()).To(gomega.Equal(talk.NoFlaw))
 	}
-	bnc.ends <- nil
-	gom.Expect(bnc.desk.Make(context.Background(), ask).Flaw).To(gomega.Equal(talk.InputGone), "it stays bounded")
+	fxt.errs <- nil
+	gom.Expect(fxt.desk.Make(context.Background(), ask).Flaw).To(gomega.Equal(talk.InputGone), "recomputation stays bounded")
 }
--- a/internal/batch/pool.go
+++ b/internal/batch/pool.go
@@ -16,102 +16,102 @@
 )
 
 const (
-	// maxTries is how often one piece is tried.
+	// maxTries is the maximum number of attempts per item.
 	maxTries = 3
-	// lookAgain is the time after which the book is asked again while pieces
-	// wait and no call ends meanwhile: an endpoint that was full, failed or out
-	// of room opens without telling.
-	lookAgain = 20 * clock.Milli(1)
-	// settle is how long an order waits for others that were set off by the same call
-	// of the stage before: they come from several instances, within the way between data centres.
-	settle = 5 * clock.Milli(1)
-	// freeAfter is how long results to be given back are gathered for one call,
-	// and freeWait bounds the call.
-	freeAfter = 4 * clock.Milli(1)
-	freeWait  = time.Second
+	// pollInterval is how often the scheduler is polled while items wait and no call ends: an
+	// endpoint that was full, failed or out of result storage becomes available without notice.
+	pollInterval = 20 * clock.Milli(1)
+	// coalesceDelay is how long an order waits for others triggered by the same call of the
+	// previous stage: they come from several instances, delayed by the latency between data
+	// centres.
+	coalesceDelay = 5 * clock.Milli(1)
+	// releaseDelay is how long handles to be released are collected for one call, and
+	// releaseTimeout bounds that call.
+	releaseDelay   = 4 * clock.Milli(1)
+	releaseTimeout = time.Second
 )
 
-// slot says which piece of which order a piece of the book is.
-type slot struct {
+// itemRef maps an item of the scheduler to its order and its index there.
+type itemRef struct {
 	ord   *order
 	index int
 }
 
-// pool is one pool's book with the orders that wait in it.
+// pool is the scheduler of one pool with its orders in progress.
 type pool struct {
 	set  Setup
 	name string
 
 	mtx   sync.Mutex
-	book  gather.Book
+	sched gather.Book
 	rates limit.Rates
-	slots map[int64]slot
+	refs  map[int64]itemRef
 	next  int64
-	// link is how fast the endpoints fetch, in Mbit/s; zero if it isn't known.
-	link float64
-	// holdUntil is the instant until which inputs are held to their calls' ends.
-	holdUntil clock.Milli
-	budget    budget
-	// wakeAt is when the book is asked again at the latest.
-	wakeAt clock.Milli
-	freed  map[string][]string
-	// under are the calls under way.
-	under ident.Watch
-	// ordered is when the last order came; makers, room and keep are as the documents and
-	// the list of endpoints have them.
-	ordered clock.Milli
-	makers  []gather.Maker
-	room    int64
-	keep    clock.Milli
+	// linkMbps is the bandwidth at which endpoints fetch inputs; zero if unknown.
+	linkMbps float64
+	// holdInputsUntil is the instant until which inputs are held to the end of their calls.
+	holdInputsUntil clock.Milli
+	budget          budget
+	// wakeAt is the latest instant of the next dispatch.
+	wakeAt          clock.Milli
+	pendingReleases map[string][]string
+	// inFlight has the calls in progress.
+	inFlight ident.Watch
+	// lastOrder is when the last order arrived; endpoints, resultStorage and resultTTL come from
+	// the service documents and the list of endpoints.
+	lastOrder     clock.Milli
+	endpoints     []gather.Maker
+	resultStorage int64
+	resultTTL     clock.Milli
 }
 
 func newPool(name string, set Setup) *pool {
-	return &pool{set: set, name: name, slots: map[int64]slot{}, freed: map[string][]string{}, budget: newBudget(set)}
+	return &pool{set: set, name: name, refs: map[int64]itemRef{}, pendingReleases: map[string][]string{}, budget: newBudget(set)}
 }
 
 func (pol *pool) sync(spc plan.DraftBatch, makers []gather.Maker, rates map[string]float64) {
 	pol.mtx.Lock()
 	defer pol.mtx.Unlock()
 	pol.rates.Sync(rates)
-	pol.book.Set(gather.Spec{Places: spc.Places, Most: spc.Most, Call: spc.Call, Item: spc.Item, Room: spc.Room, Keep: spc.Keep})
-	pol.link, pol.room, pol.keep, pol.makers = spc.Link, spc.Room, spc.Keep, makers
-	pol.book.Sync(makers)
+	pol.sched.Set(gather.Spec{Places: spc.Places, Most: spc.Most, Call: spc.Call, Item: spc.Item, Room: spc.Room, Keep: spc.Keep})
+	pol.linkMbps, pol.resultStorage, pol.resultTTL, pol.endpoints = spc.Link, spc.Room, spc.Keep, makers
+	pol.sched.Sync(makers)
 	for _, mkr := range makers {
-		pol.under.Listed(ident.Process(mkr.ID))
+		pol.inFlight.Listed(ident.Process(mkr.ID))
 	}
-	pol.run()
+	pol.dispatch()
 }
 
 func (pol *pool) wait() clock.Milli {
 	pol.mtx.Lock()
 	defer pol.mtx.Unlock()
-	return pol.book.Wait(pol.set.Clock.Now())
+	return pol.sched.Wait(pol.set.Clock.Now())
 }
 
-// fill adds an order's pieces to the book and waits for them.
+// fill adds an order's items to the scheduler and waits for them.
 func (pol *pool) fill(ctx context.Context, ask Order) Filled {
-	ord := &order{Order: ask, results: make([]Handle, ask.Count), missing: ask.Count, tries: make([]int, ask.Count), done: make(chan struct{})}
+	ord := &order{Order: ask, results: make([]Handle, ask.Count), pending: ask.Count, tries: make([]int, ask.Count), done: make(chan struct{})}
 	pol.mtx.Lock()
 	now := pol.set.Clock.Now()
 	if !ask.Again {
-		pol.budget.ordered(ask.Count)
-	} else if !pol.budget.remake(ask.Count) {
+		pol.budget.earn(ask.Count)
+	} else if !pol.budget.allowRecompute(ask.Count) {
 		defer pol.mtx.Unlock()
 		pol.set.Log.Info().Str("request", ask.Request).Int("stage", ask.Stage).Str("pool", ask.Pool).Int("pieces", ask.Count).
-			Msg("no budget to make inputs again")
-		return Filled{Flaw: talk.InputGone, Wait: pol.book.Wait(now)}
+			Msg("retry budget exhausted, lost inputs are not recomputed")
+		return Filled{Flaw: talk.InputGone, Wait: pol.sched.Wait(now)}
 	}
-	// From here on the spans are instants of our own clock.
+	// From here on the spans are instants of the local clock.
 	ord.Due, ord.Until, ord.NearUntil = now+ask.Due, now+ask.Until, now+ask.NearUntil
 	pol.next++
 	ord.job = pol.next
 	for i := range ask.Count {
 		pol.add(ord, i, false)
 	}
-	pol.wakeIn(settle, now)
-	if pol.begins(now) {
-		pol.book.Begin(now)
-		go pol.survey(now)
+	pol.dispatchWithin(coalesceDelay, now)
+	if pol.takesOver(now) {
+		pol.sched.Begin(now)
+		go pol.pollStorage(now)
 	}
 	pol.mtx.Unlock()
 	select {
@@ -120,76 +120,76 @@
 	}
 	pol.mtx.Lock()
 	defer pol.mtx.Unlock()
-	return pol.settle(ord)
+	return pol.finish(ord)
 }
 
-// settle ends an order. What was made of one that failed is given back.
-func (pol *pool) settle(ord *order) Filled {
-	ord.end(talk.Late)
-	out := Filled{Flaw: ord.flaw, Wait: pol.book.Wait(pol.set.Clock.Now()), Fetched: ord.fetch.over, Ended: ord.ends}
+// finish completes an order and returns its outcome. The results of a failed order are released.
+func (pol *pool) finish(ord *order) Filled {
+	ord.complete(talk.Late)
+	out := Filled{Flaw: ord.flaw, Wait: pol.sched.Wait(pol.set.Clock.Now()), Fetched: ord.fetch.released, Ended: ord.crashes}
 	if ord.flaw == talk.NoFlaw {
 		out.Results = ord.results
 		return out
 	}
-	pol.drop(ord)
+	pol.withdraw(ord)
 	return out
 }
 
-// drop withdraws an order's waiting pieces and gives back those made.
-func (pol *pool) drop(ord *order) {
-	for id, slt := range pol.slots {
-		if slt.ord == ord && pol.book.Remove(id) {
-			delete(pol.slots, id)
+// withdraw removes an order's waiting items from the scheduler and releases its results.
+func (pol *pool) withdraw(ord *order) {
+	for id, ref := range pol.refs {
+		if ref.ord == ord && pol.sched.Remove(id) {
+			delete(pol.refs, id)
 		}
 	}
 	for i, res := range ord.results {
 		if res.Name != "" {
-			pol.giveBack(res)
+			pol.queueRelease(res)
 			ord.results[i] = Handle{}
 		}
 	}
 }
 
-// add puts a piece of an order in the book; rest tells that others of the order are
-// made or under way.
+// add puts an item of an order into the scheduler; rest is set when other items of the order are
+// done or in progress.
 func (pol *pool) add(ord *order, index int, rest bool) {
 	pol.next++
-	pol.slots[pol.next] = slot{ord: ord, index: index}
-	pol.book.Add(gather.Piece{
+	pol.refs[pol.next] = itemRef{ord: ord, index: index}
+	pol.sched.Add(gather.Piece{
 		ID: pol.next, Job: ord.job, Due: ord.Due, Until: ord.Until, Rank: ord.Rank, Zone: ord.Zone, NearUntil: ord.NearUntil, Bytes: ord.Bytes, Rest: rest,
-		Alone: ord.Alone || len(ord.ends) > 0,
+		Alone: ord.Alone || len(ord.crashes) > 0,
 	})
 }
 
-// run makes the calls that the book asks for.
-func (pol *pool) run() {
+// dispatch makes the calls that the scheduler selects.
+func (pol *pool) dispatch() {
 	now := pol.set.Clock.Now()
-	share := pol.holdRated(now)
+	share := pol.holdRateLimited(now)
 	for {
-		bat, ok := pol.book.Next(now)
+		bat, ok := pol.sched.Next(now)
 		if !ok {
 			break
 		}
 		pol.rates.Take(bat.Maker.ID, share, now)
-		pol.book.Hold(bat.Maker.ID, now+pol.rates.Wait(bat.Maker.ID, now))
+		pol.sched.Hold(bat.Maker.ID, now+pol.rates.Wait(bat.Maker.ID, now))
 		go pol.call(bat)
 	}
-	// Whatever still finds a place is not given up.
-	for _, pc := range pol.book.Expired(now) {
-		pol.fail(pc.ID, talk.Late)
+	// Only after the calls: an item that still got a slot has not expired.
+	for _, pc := range pol.sched.Expired(now) {
+		pol.failItem(pc.ID, talk.Late)
 	}
-	if pol.book.Waiting() == 0 {
+	if pol.sched.Waiting() == 0 {
 		return
 	}
-	span := lookAgain
-	if space := pol.book.Space(now); space > 0 {
+	span := pollInterval
+	if space := pol.sched.Space(now); space > 0 {
 		span = min(span, space)
 	}
-	pol.wakeIn(span, now)
+	pol.dispatchWithin(span, now)
 }
 
-// wakeIn has the book asked again after a span, unless it will be sooner anyway.
-func (pol *pool) wakeIn(span, now clock.Milli) {
+// dispatchWithin schedules a dispatch after a span, unless one is due sooner.
+func (pol *pool) dispatchWithin(span, now clock.Milli) {
 	if now < pol.wakeAt && pol.wakeAt <= now+span {
 		return
 	}
@@ -197,28 +197,28 @@
 	pol.set.After(span, func() {
 		pol.mtx.Lock()
 		defer pol.mtx.Unlock()
-		pol.run()
+		pol.dispatch()
 	})
 }
 
-// fail ends the order of a piece that can't be made.
-func (pol *pool) fail(id int64, flaw talk.Flaw) {
-	slt, ok := pol.slots[id]
+// failItem fails the order of an item that can't be made.
+func (pol *pool) failItem(id int64, flaw talk.Flaw) {
+	ref, ok := pol.refs[id]
 	if !ok {
 		return
 	}
-	delete(pol.slots, id)
-	slt.ord.end(flaw)
+	delete(pol.refs, id)
+	ref.ord.complete(flaw)
 }
 
-// call makes one call and takes what came of it.
+// call makes one call and handles its response.
 func (pol *pool) call(bat gather.Batch) {
-	items := pol.items(bat)
+	items := pol.requestItems(bat)
 	ctx, cancel := context.WithTimeout(context.Background(), bat.GiveUp.Duration())
 	defer cancel()
-	defer pol.under.Watch(ident.Process(bat.Maker.ID), cancel)()
+	defer pol.inFlight.Watch(ident.Process(bat.Maker.ID), cancel)()
 	ep := talk.Endpoint{ID: ident.Process(bat.Maker.ID), Pool: pol.name, Addr: bat.Maker.Addr, Zone: bat.Maker.Zone}
-	fetch := time.AfterFunc(pol.fetchTime(bat), func() { pol.fetched(bat) })
+	fetch := time.AfterFunc(pol.fetchTime(bat), func() { pol.inputsFetched(bat) })
 	defer fetch.Stop()
 	began := pol.set.Clock.Now()
 	made, rep, err := pol.set.Dialect.Run(ctx, pol.set.Client, ep, items)
@@ -226,35 +226,35 @@
 	if rep.Misdirected {
 		pol.set.Gone(ep.ID, "another endpoint answers at its address")
 	}
-	ended := pol.endedIn(ctx, bat, err)
+	crashed := pol.crashedDuring(ctx, bat, err)
 	pol.mtx.Lock()
 	defer pol.mtx.Unlock()
-	if ended {
-		pol.endedUnder(bat)
+	if crashed {
+		pol.recordCrash(bat)
 	}
-	pol.log(bat, made, took, err)
-	pol.take(bat, made, err)
-	pol.run()
+	pol.logCall(bat, made, took, err)
+	pol.handleResponse(bat, made, err)
+	pol.dispatch()
 }
 
-func (pol *pool) items(bat gather.Batch) []talk.Item {
+func (pol *pool) requestItems(bat gather.Batch) []talk.Item {
 	pol.mtx.Lock()
 	defer pol.mtx.Unlock()
 	now := pol.set.Clock.Now()
 	items := make([]talk.Item, len(bat.Pieces))
 	for i, pc := range bat.Pieces {
-		slt := pol.slots[pc.ID]
+		ref := pol.refs[pc.ID]
 		items[i] = talk.Item{
-			Request: slt.ord.Request, Stage: slt.ord.Stage, Piece: slt.index, Left: max(pc.Until-now, 1),
-			Key: slt.ord.Key, Inputs: slt.ord.Inputs,
+			Request: ref.ord.Request, Stage: ref.ord.Stage, Piece: ref.index, Left: max(pc.Until-now, 1),
+			Key: ref.ord.Key, Inputs: ref.ord.Inputs,
 		}
 	}
 	return items
 }
 
-// take notes what became of each piece of a call.
-func (pol *pool) take(bat gather.Batch, made []talk.Made, err error) {
-	var kept []gather.Result
+// handleResponse records the outcome of each item of a call.
+func (pol *pool) handleResponse(bat gather.Batch, made []talk.Made, err error) {
+	var stored []gather.Result
 	for i, pc := range bat.Pieces {
 		out := talk.Made{Flaw: talk.Broken}
 		switch {
@@ -264,18 +264,18 @@
 			out.Flaw = talk.NoRoom
 		}
 		if out.Handle != "" {
-			kept = append(kept, gather.Result{Handle: out.Handle, Bytes: pc.Bytes})
+			stored = append(stored, gather.Result{Handle: out.Handle, Bytes: pc.Bytes})
 		}
 	}
-	pol.book.Ended(bat.ID, verdict(err), kept, pol.set.Clock.Now())
+	pol.sched.Ended(bat.ID, verdict(err), stored, pol.set.Clock.Now())
 	for i, pc := range bat.Pieces {
 		switch {
 		case err == nil:
-			pol.takePiece(pc.ID, made[i], bat.Maker)
+			pol.handleItem(pc.ID, made[i], bat.Maker)
 		case errors.Is(err, talk.ErrFull):
-			pol.again(pc.ID, talk.NoRoom)
+			pol.retryItem(pc.ID, talk.NoRoom)
 		default:
-			pol.again(pc.ID, talk.Broken)
+			pol.retryItem(pc.ID, talk.Broken)
 		}
 	}
 }
@@ -290,62 +290,62 @@
 	return gather.Failed
 }
 
-func (pol *pool) takePiece(id int64, made talk.Made, mkr gather.Maker) {
-	slt, ok := pol.slots[id]
+func (pol *pool) handleItem(id int64, made talk.Made, mkr gather.Maker) {
+	ref, ok := pol.refs[id]
 	if !ok {
 		return
 	}
 	res := Handle{Name: made.Handle, Addr: mkr.Addr, Zone: mkr.Zone}
 	switch {
 	case made.Flaw == talk.NoRoom:
-		pol.book.Full(mkr.ID, pol.set.Clock.Now())
-		pol.again(id, made.Flaw)
+		pol.sched.Full(mkr.ID, pol.set.Clock.Now())
+		pol.retryItem(id, made.Flaw)
 	case made.Flaw == talk.Broken:
-		pol.again(id, made.Flaw)
-	case made.Flaw == talk.InputGone && slt.ord.fetch.over:
-		pol.holdUntil = pol.set.Clock.Now() + heldFor
-		pol.fail(id, made.Flaw)
+		pol.retryItem(id, made.Flaw)
+	case made.Flaw == talk.InputGone && ref.ord.fetch.released:
+		pol.holdInputsUntil = pol.set.Clock.Now() + inputHoldTime
+		pol.failItem(id, made.Flaw)
 	case made.Flaw != talk.NoFlaw:
-		pol.fail(id, made.Flaw)
-	case slt.ord.ended:
-		// Its asker has left; nobody else knows of the result.
-		delete(pol.slots, id)
-		pol.giveBack(res)
+		pol.failItem(id, made.Flaw)
+	case ref.ord.completed:
+		// The caller has left, and nobody else has the handle.
+		delete(pol.refs, id)
+		pol.queueRelease(res)
 	default:
-		delete(pol.slots, id)
-		slt.ord.results[slt.index] = res
-		if slt.ord.missing--; slt.ord.missing == 0 {
-			slt.ord.end(talk.NoFlaw)
+		delete(pol.refs, id)
+		ref.ord.results[ref.index] = res
+		if ref.ord.pending--; ref.ord.pending == 0 {
+			ref.ord.complete(talk.NoFlaw)
 		}
 	}
 }
 
-// again puts a piece back that was not made, within the budget and its bounds.
-func (pol *pool) again(id int64, flaw talk.Flaw) {
-	slt, ok := pol.slots[id]
+// retryItem puts a failed item back into the scheduler, within the retry budget and maxTries.
+func (pol *pool) retryItem(id int64, flaw talk.Flaw) {
+	ref, ok := pol.refs[id]
 	if !ok {
 		return
 	}
-	delete(pol.slots, id)
-	if slt.ord.ended {
+	delete(pol.refs, id)
+	if ref.ord.completed {
 		return
 	}
-	slt.ord.fetch.set(slt.index, slt.ord.Count, false)
-	slt.ord.tries[slt.index]++
+	ref.ord.fetch.set(ref.index, ref.ord.Count, false)
+	ref.ord.tries[ref.index]++
 	switch {
-	case slt.ord.fetch.over:
-		slt.ord.end(talk.InputGone)
+	case ref.ord.fetch.released:
+		ref.ord.complete(talk.InputGone)
 		return
-	case slt.ord.tries[slt.index] >= maxTries || !pol.budget.repeat():
-		slt.ord.end(flaw)
+	case ref.ord.tries[ref.index] >= maxTries || !pol.budget.allowRetry():
+		ref.ord.complete(flaw)
 		return
 	}
 	pol.set.Meter.Retried(retry.Refused)
-	pol.add(slt.ord, slt.index, slt.ord.Count > 1)
+	pol.add(ref.ord, ref.index, ref.ord.Count > 1)
 }
 
-// log writes a line for a call that was not answered whole.
-func (pol *pool) log(bat gather.Batch, made []talk.Made, took clock.Milli, err error) {
+// logCall logs a call, at a higher level if it failed wholly or in part.
+func (pol *pool) logCall(bat gather.Batch, made []talk.Made, took clock.Milli, err error) {
 	flawed, room := 0, 0
 	for _, mad := range made {
 		if mad.Flaw != talk.NoFlaw {
@@ -363,46 +363,46 @@
 		evt = pol.set.Log.Info()
 	}
 	evt.Str("pool", pol.name).Str("endpoint", bat.Maker.ID).Int("pieces", len(bat.Pieces)).Int("flawed", flawed).Int("no_room", room).
-		Int64("held_bytes", pol.book.Held(bat.Maker.ID)).Int("waiting", pol.book.Waiting()).
-		Int64("took_ms", int64(took)).Int64("give_up_ms", int64(bat.GiveUp)).Msg("pieces called for")
+		Int64("held_bytes", pol.sched.Held(bat.Maker.ID)).Int("waiting", pol.sched.Waiting()).
+		Int64("took_ms", int64(took)).Int64("give_up_ms", int64(bat.GiveUp)).Msg("batch call ended")
 }
 
-// free gives results back.
+// free releases results.
 func (pol *pool) free(list []Handle) {
 	pol.mtx.Lock()
 	defer pol.mtx.Unlock()
 	for _, res := range list {
-		pol.giveBack(res)
+		pol.queueRelease(res)
 	}
 }
 
-// giveBack gathers results for one call to their maker. A call that fails is not
-// repeated: the maker drops the result by itself after a while.
-func (pol *pool) giveBack(res Handle) {
-	if len(pol.freed[res.Addr]) == 0 {
-		pol.set.After(max(freeAfter, pol.freeEach(res.Addr)), func() { pol.flush(res.Addr) })
+// queueRelease collects the handles to be released at one endpoint for a single call. A failed call
+// is not retried: the endpoint drops the results when they expire.
+func (pol *pool) queueRelease(res Handle) {
+	if len(pol.pendingReleases[res.Addr]) == 0 {
+		pol.set.After(max(releaseDelay, pol.releaseInterval(res.Addr)), func() { pol.sendReleases(res.Addr) })
 	}
-	pol.freed[res.Addr] = append(pol.freed[res.Addr], res.Name)
+	pol.pendingReleases[res.Addr] = append(pol.pendingReleases[res.Addr], res.Name)
 }
 
-func (pol *pool) flush(addr string) {
+func (pol *pool) sendReleases(addr string) {
 	pol.mtx.Lock()
-	list := pol.freed[addr]
-	delete(pol.freed, addr)
-	pol.takeFree(addr)
+	list := pol.pendingReleases[addr]
+	delete(pol.pendingReleases, addr)
+	pol.countRelease(addr)
 	pol.mtx.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), freeWait)
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	if err := pol.set.Dialect.Free(ctx, pol.set.Client, addr, list); err != nil {
-		pol.set.Log.Warn().Err(err).Str("pool", pol.name).Str("addr", addr).Int("results", len(list)).Msg("results were not given back")
+		pol.set.Log.Warn().Err(err).Str("pool", pol.name).Str("addr", addr).Int("results", len(list)).Msg("releasing results failed")
 		return
 	}
 	pol.mtx.Lock()
 	defer pol.mtx.Unlock()
-	// Only now is there room: a call that was made a moment sooner would find
-	// none.
+	// The storage is available only now: a call made before the endpoint's answer would be refused
+	// for lack of it.
 	for _, name := range list {
-		pol.book.Free(name)
+		pol.sched.Free(name)
 	}
-	pol.run()
+	pol.dispatch()
 }
--- a/internal/batch/rates.go
+++ b/internal/batch/rates.go
@@ -2,41 +2,41 @@
 
 import "amaranthvalve/pkg/clock"
 
-// heldAgain is for how long an endpoint that names a rate gets no call from an instance that
-// doesn't keep its pool's rates, before that is looked at again.
-const heldAgain = 100 * clock.Milli(1)
+// rateRecheckInterval is how long an endpoint with a declared rate gets no call from an instance
+// that does not own its pool's rates, before ownership is checked again.
+const rateRecheckInterval = 100 * clock.Milli(1)
 
-// holdRated keeps calls from endpoints that name a rate until they may be sent one, and gives the
-// part of the rates that this instance may send.
-func (pol *pool) holdRated(now clock.Milli) (share float64) {
+// holdRateLimited holds back calls to endpoints with a declared rate until one may be sent, and
+// returns the fraction of the rates that this instance may use, -1 if no endpoint declares one.
+func (pol *pool) holdRateLimited(now clock.Milli) (share float64) {
 	share = -1
-	for _, mkr := range pol.makers {
+	for _, mkr := range pol.endpoints {
 		if !pol.rates.Has(mkr.ID) {
 			continue
 		}
 		if share < 0 {
-			share = pol.share()
+			share = pol.rateShare()
 		}
 		wait := pol.rates.Wait(mkr.ID, now)
 		if share == 0 {
-			wait = max(wait, heldAgain)
+			wait = max(wait, rateRecheckInterval)
 		}
-		pol.book.Hold(mkr.ID, now+wait)
+		pol.sched.Hold(mkr.ID, now+wait)
 	}
 	return share
 }
 
-func (pol *pool) share() float64 {
+func (pol *pool) rateShare() float64 {
 	if pol.set.Keeps == nil {
 		return 1
 	}
 	return pol.set.Keeps(pol.name)
 }
 
-// freeEach gives the time between two calls that give results back to the endpoint at an address;
-// they are requests too.
-func (pol *pool) freeEach(addr string) clock.Milli {
-	for _, mkr := range pol.makers {
+// releaseInterval returns the minimum time between two calls that release results at the endpoint
+// at an address; these calls count towards its declared rate.
+func (pol *pool) releaseInterval(addr string) clock.Milli {
+	for _, mkr := range pol.endpoints {
 		if mkr.Addr == addr {
 			return pol.rates.Each(mkr.ID)
 		}
@@ -44,9 +44,9 @@
 	return 0
 }
 
-// takeFree notes such a call.
-func (pol *pool) takeFree(addr string) {
-	for _, mkr := range pol.makers {
+// countRelease counts a call that releases results towards the endpoint's declared rate.
+func (pol *pool) countRelease(addr string) {
+	for _, mkr := range pol.endpoints {
 		if mkr.Addr == addr {
 			pol.rates.Take(mkr.ID, 1, pol.set.Clock.Now())
 		}
--- a/internal/batch/survey_test.go
+++ b/internal/batch/storage_test.go
@@ -15,11 +15,11 @@
 	"amaranthvalve/pkg/plan"
 )
 
-// TestRoomIsAskedFor: whoever gathered a pool has lost power, and half of the room at one of its
-// two endpoints is taken by results that nobody will give back. This instance asks both, of
-// which one doesn't answer, and has as many pieces made as there is room for; asked once more
-// the endpoint has let go of them, and nobody asks on.
-func TestRoomIsAskedFor(t *testing.T) {
+// TestEndpointsArePolledForStorage: the previous coordinator of a pool has lost power, and half of
+// the storage of one of its two endpoints holds results that nobody will release. The new
+// coordinator polls both, one of which doesn't answer, and orders only as many items as fit. Once
+// the endpoint has dropped the old results the polling stops.
+func TestEndpointsArePolledForStorage(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	calls, timers, rounds, free := make(chan []talk.Item, 9), make(chan func(), 99), make(chan func(), 9), make(chan int64, 9)
 	dia := &talk.Dialect{
@@ -38,7 +38,7 @@
 	desk := New(Setup{
 		Dialect: dia, Meter: meter.New(), Log: zerolog.Nop(), Reserve: 10, Window: 10 * clock.Second,
 		After: func(span clock.Milli, work func()) {
-			if span == surveyEvery {
+			if span == storagePollInterval {
 				rounds <- work
 				return
 			}
@@ -55,7 +55,7 @@
 		go desk.Make(ctx, Order{Pool: "ranks", Count: 1, Bytes: 250, Due: clock.Minute, Until: clock.Minute})
 	}
 	begin := <-timers
-	gom.Eventually(func() int { return desk.pool("ranks").waitingNow() }, soon).Should(gomega.Equal(4))
+	gom.Eventually(func() int { return desk.pool("ranks").numWaiting() }, soon).Should(gomega.Equal(4))
 	free <- 500
 	again := <-rounds
 	begin()
