--- /dev/null
+++ b/internal/homes/coord.go
@@ -0,0 +1,241 @@
+// Package homes finds the coordinator of a pool, the instance that batches the pool's items or
+// places its prompts, and sends orders and placement requests to it.
+//
+// The coordinators follow from the membership. One that sends no keep-alive is abandoned for the
+// next, and this instance batches locally after three have failed: a request must not fail, nor run
+// out of time, because another instance died.
+package homes
+
+import (
+	"context"
+	"errors"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/rs/zerolog"
+
+	"amaranthvalve/internal/batch"
+	"amaranthvalve/internal/peer"
+	"amaranthvalve/internal/pools"
+	"amaranthvalve/internal/state"
+	"amaranthvalve/internal/talk"
+	"amaranthvalve/pkg/clock"
+	"amaranthvalve/pkg/ident"
+	"amaranthvalve/pkg/place"
+)
+
+const (
+	// MaxPieces bounds the items of one stage of one request.
+	MaxPieces = 4096
+	// maxCoordinatorTries is the number of instances that an order is sent to before this one
+	// batches locally: when most instances have lost power, the first two often have.
+	maxCoordinatorTries = 3
+	// unresponsiveFor is how long an unresponsive instance gets no requests: the other members take
+	// about as long to suspect it.
+	unresponsiveFor = 2 * clock.Second
+	// joinTimeout is how long a starting instance waits for the membership before it fills orders.
+	// After a loss of all instances, each of them batched alone until it knew the others: they
+	// filled all slots and queues of the endpoints with batches of one item, and the actual
+	// coordinator found no slot. A store that answers does so within this time, and requests can't
+	// wait for one that is down.
+	joinTimeout = clock.Second
+	// releaseTimeout bounds a request to release results.
+	releaseTimeout = time.Second
+)
+
+// errOrderRefused is returned when a coordinator answers an order with Nack.
+var errOrderRefused = errors.New("the coordinator refused the order")
+
+// Setup holds the dependencies of [Homes].
+type Setup struct {
+	Control *state.Control
+	Desk    *batch.Desk
+	Pools   *pools.Pools
+	// Link is nil for a single instance.
+	Link  *peer.Link
+	Clock clock.Clock
+	Log   zerolog.Logger
+	// Held queries the prompt parts in the cache of a model engine; nil if engines can't be
+	// queried.
+	Held func(ctx context.Context, ep talk.Endpoint) ([]place.Part, error)
+	// After runs work after a delay; nil selects the runtime's timers.
+	After func(span clock.Milli, work func())
+}
+
+// Homes sends orders, placement requests and queries to the coordinators of pools, and serves those
+// of other instances. It tracks which coordinators are unresponsive and how long items wait there.
+type Homes struct {
+	set Setup
+	// joined is closed once this instance has had joinTimeout to receive the membership; it may
+	// have it earlier.
+	joined chan struct{}
+
+	mtx               sync.Mutex
+	unresponsiveUntil map[ident.Incarnation]clock.Milli
+	waitEstimates     map[string]waitEstimate
+	// orders counts the orders of other instances in progress here.
+	orders   atomic.Int64
+	arrivals arrivals
+	reports  reports
+	tenures  tenures
+	// permits holds until when the coordinators of plain pools have no permit.
+	permits permits
+	// placeTimeouts counts consecutive placement requests without an answer.
+	placeTimeouts map[ident.Incarnation]int
+}
+
+// New returns Homes that take every instance for responsive.
+func New(set Setup) *Homes {
+	if set.After == nil {
+		set.After = func(span clock.Milli, work func()) { time.AfterFunc(span.Duration(), work) }
+	}
+	crd := &Homes{set: set, joined: make(chan struct{}), unresponsiveUntil: map[ident.Incarnation]clock.Milli{}, placeTimeouts: map[ident.Incarnation]int{}, waitEstimates: map[string]waitEstimate{}}
+	if set.Link == nil {
+		close(crd.joined)
+	} else {
+		set.After(joinTimeout, func() { close(crd.joined) })
+	}
+	return crd
+}
+
+// Fill sends an order to the pool's coordinator, then to its successors, and finally fills it
+// locally. It also returns the address of the instance that filled it.
+func (crd *Homes) Fill(ctx context.Context, ord batch.Order, left func() (due, until clock.Milli)) (batch.Filled, string) {
+	select {
+	case <-crd.joined:
+	case <-crd.set.Control.Met():
+	case <-ctx.Done():
+		return batch.Filled{Flaw: talk.Late}, crd.set.Control.Self().Addr()
+	}
+	tried := 0
+	for _, inc := range crd.set.Control.View().Gatherers(ord.Pool) {
+		if inc == crd.set.Control.Self() || tried >= maxCoordinatorTries {
+			break
+		}
+		if crd.isUnresponsive(inc) {
+			continue
+		}
+		tried++
+		ord.Due, ord.Until = left()
+		fld, err := crd.sendOrder(ctx, inc, ord)
+		if err == nil {
+			crd.noteWait(ord.Pool, fld.Wait)
+			return fld, inc.Addr()
+		}
+		if ctx.Err() != nil {
+			return batch.Filled{}, inc.Addr()
+		}
+		crd.logLost(inc, ord, err)
+	}
+	ord.Due, ord.Until = left()
+	fld := crd.set.Desk.Make(ctx, ord)
+	crd.noteWait(ord.Pool, fld.Wait)
+	return fld, crd.set.Control.Self().Addr()
+}
+
+// hasJoined reports whether this instance has received the membership or waited joinTimeout for it.
+func (crd *Homes) hasJoined() bool {
+	select {
+	case <-crd.joined:
+	case <-crd.set.Control.Met():
+	default:
+		return false
+	}
+	return true
+}
+
+func (crd *Homes) sendOrder(ctx context.Context, inc ident.Incarnation, ord batch.Order) (batch.Filled, error) {
+	body, err := cbor.Marshal(ord)
+	if err != nil {
+		return batch.Filled{}, err
+	}
+	msg := peer.Message{Kind: peer.PiecesWanted, From: crd.set.Control.Self(), To: inc, Body: body}
+	ans, err := crd.set.Link.AskSlowly(ctx, inc.Addr(), msg)
+	if err != nil {
+		return batch.Filled{}, err
+	}
+	if ans.Kind != peer.OK {
+		return batch.Filled{}, errOrderRefused
+	}
+	var fld batch.Filled
+	return fld, cbor.Unmarshal(ans.Body, &fld)
+}
+
+func (crd *Homes) isUnresponsive(inc ident.Incarnation) bool {
+	crd.mtx.Lock()
+	defer crd.mtx.Unlock()
+	return crd.set.Clock.Now() < crd.unresponsiveUntil[inc]
+}
+
+func (crd *Homes) logLost(inc ident.Incarnation, ord batch.Order, err error) {
+	crd.set.Log.Warn().Err(err).Str("request", ord.Request).Str("pool", ord.Pool).Str("gatherer", string(inc)).Msg("order failed at the coordinator")
+	crd.markUnresponsive(inc)
+}
+
+// markUnresponsive stops requests to an instance for a while and has it probed: if it has ended,
+// the other members should know before it would get requests again.
+func (crd *Homes) markUnresponsive(inc ident.Incarnation) {
+	crd.mtx.Lock()
+	crd.unresponsiveUntil[inc] = crd.set.Clock.Now() + unresponsiveFor
+	crd.mtx.Unlock()
+	crd.set.Control.Doubt(inc)
+}
+
+// FreeAll releases lots of results.
+func (crd *Homes) FreeAll(lots []batch.Lot) {
+	for _, lot := range lots {
+		crd.Free(lot.Home, lot.Freed)
+	}
+}
+
+// Free releases results through the coordinator that had them computed. If that instance can't be
+// reached, this one sends the release to the endpoints.
+func (crd *Homes) Free(home string, frd batch.Freed) {
+	if home == "" || home == crd.set.Control.Self().Addr() || crd.set.Link == nil {
+		crd.set.Desk.Free(frd)
+		return
+	}
+	go func() {
+		body, err := cbor.Marshal(frd)
+		if err != nil {
+			return
+		}
+		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
+		defer cancel()
+		msg := peer.Message{Kind: peer.PiecesFreed, From: crd.set.Control.Self(), Body: body}
+		if ans, err := crd.set.Link.Ask(ctx, home, msg); err != nil || ans.Kind != peer.OK {
+			crd.set.Desk.Free(frd)
+		}
+	}()
+}
+
+// Gather handles an order of another instance; it is registered with the link.
+func (crd *Homes) Gather(ctx context.Context, msg peer.Message) peer.Message {
+	ans := peer.Message{Kind: peer.Nack, From: crd.set.Control.Self()}
+	var ord batch.Order
+	if cbor.Unmarshal(msg.Body, &ord) != nil || ord.Count < 1 || ord.Count > MaxPieces {
+		return ans
+	}
+	crd.orders.Add(1)
+	defer crd.orders.Add(-1)
+	body, err := cbor.Marshal(crd.set.Desk.Make(ctx, ord))
+	if err == nil {
+		ans.Kind, ans.Body = peer.OK, body
+	}
+	return ans
+}
+
+// Orders returns the number of orders of other instances in progress here.
+func (crd *Homes) Orders() int64 { return crd.orders.Load() }
+
+// Freed handles the release of results by another instance; it is registered with the link.
+func (crd *Homes) Freed(msg peer.Message) peer.Message {
+	var frd batch.Freed
+	if cbor.Unmarshal(msg.Body, &frd) != nil {
+		return peer.Message{Kind: peer.Nack, From: crd.set.Control.Self()}
+	}
+	crd.set.Desk.Free(frd)
+	return peer.Message{Kind: peer.OK, From: crd.set.Control.Self()}
+}
--- a/internal/homes/homes_test.go
+++ b/internal/homes/coord_test.go
@@ -22,9 +22,9 @@
 	"amaranthvalve/pkg/plan"
 )
 
-// started is the homes of an instance that has just started, whose timers run when they
-// are told to, and the calls that its desk makes.
-func started() (*Homes, chan func(), chan []talk.Item) {
+// starting returns the Homes of an instance that has just started, its timers, which the test
+// fires, and the calls that its batcher makes.
+func starting() (*Homes, chan func(), chan []talk.Item) {
 	calls, timers := make(chan []talk.Item, 9), make(chan func(), 9)
 	dia := &talk.Dialect{Run: func(_ context.Context, _ *http.Client, _ talk.Endpoint, items []talk.Item) ([]talk.Made, talk.Reply, error) {
 		calls <- items
@@ -34,23 +34,23 @@
 	pln, _ := plan.Compile(plan.Draft{Pools: []plan.DraftPool{{Name: "encode", Batch: &plan.DraftBatch{Places: 1, Most: 9, Call: 20}}}})
 	desk.Sync(pln, []talk.Endpoint{{ID: "e1", Pool: "encode", Addr: "a:1"}}, nil)
 	self := ident.NewIncarnation("127.0.0.1:1")
-	hms := New(Setup{
+	crd := New(Setup{
 		Control: state.New(state.Setup{Self: self, Meter: meter.New(), Log: zerolog.Nop()}), Desk: desk, Link: &peer.Link{},
 		Log: zerolog.Nop(), After: func(_ clock.Milli, work func()) { timers <- work },
 	})
-	return hms, timers, calls
+	return crd, timers, calls
 }
 
-// TestNothingIsMadeBeforeTheOthersAreKnown: all instances have started anew, and callers
-// come before the instances know of each other. A request waits until this one has had the
-// time to learn who gathers. Made at once, the pieces of each instance would go to the
-// endpoints by themselves and fill their queues.
-func TestNothingIsMadeBeforeTheOthersAreKnown(t *testing.T) {
+// TestOrdersWaitForMembership: all instances have restarted, and requests arrive before the
+// instances know each other. An order waits until this instance has had the time to learn the
+// coordinator. Batched at once, the items of each instance would go to the endpoints in batches of
+// their own and fill their queues.
+func TestOrdersWaitForMembership(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	hms, timers, calls := started()
+	crd, timers, calls := starting()
 	ends := make(chan batch.Filled, 1)
 	go func() {
-		fld, _ := hms.Fill(context.Background(), batch.Order{Pool: "encode", Request: "r", Count: 1, Key: "k"}, func() (due, until clock.Milli) {
+		fld, _ := crd.Fill(context.Background(), batch.Order{Pool: "encode", Request: "r", Count: 1, Key: "k"}, func() (due, until clock.Milli) {
 			return 5 * clock.Second, 9 * clock.Second
 		})
 		ends <- fld
@@ -61,19 +61,19 @@
 	gom.Eventually(ends, 5*time.Second).Should(gomega.Receive(gomega.HaveField("Results", gomega.HaveLen(1))))
 }
 
-// TestCallerLeavesBeforeTheOthersAreKnown: a caller that leaves meanwhile is not held.
-func TestCallerLeavesBeforeTheOthersAreKnown(t *testing.T) {
-	hms, _, _ := started()
+// TestCallerLeavesBeforeMembership checks that Fill returns when the caller leaves meanwhile.
+func TestCallerLeavesBeforeMembership(t *testing.T) {
+	crd, _, _ := starting()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	fld, _ := hms.Fill(ctx, batch.Order{Pool: "encode", Count: 1}, nil)
+	fld, _ := crd.Fill(ctx, batch.Order{Pool: "encode", Count: 1}, nil)
 	gomega.NewWithT(t).Expect(fld.Results).To(gomega.BeEmpty())
 }
 
-// TestLearnsWhatEnginesHold: the instance that placed prompts has died, and this one places
-// them now. It asks each engine once what it holds, though one of them doesn't answer, and places
-// the next question about a document where the document was read.
-func TestLearnsWhatEnginesHold(t *testing.T) {
+// TestNewCoordinatorQueriesCaches: the instance that placed prompts has died, and this one takes
+// over. It queries the cache of each engine once, though one of them doesn't answer, and places the
+// next question about a document at the engine that has read the document.
+func TestNewCoordinatorQueriesCaches(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	pln, _ := plan.Compile(plan.Draft{Pools: []plan.DraftPool{{Name: "models", Engine: &plan.DraftEngine{Places: 8}}}})
 	var eps []talk.Endpoint
@@ -84,11 +84,11 @@
 	pls := pools.New(pools.Setup{})
 	pls.Sync(vw)
 	prm := place.Prompt{Parts: []place.Part{{ID: "doc", Tokens: 4000}, {ID: "own", Tokens: 9}}, In: 4009, Out: 10}
-	asked := make(chan ident.Process, 99)
-	hms := New(Setup{
+	queried := make(chan ident.Process, 99)
+	crd := New(Setup{
 		Control: state.New(state.Setup{Self: ident.NewIncarnation("127.0.0.1:1"), Meter: meter.New(), Log: zerolog.Nop()}), Pools: pls, Link: &peer.Link{}, Log: zerolog.Nop(),
 		Held: func(_ context.Context, ep talk.Endpoint) ([]place.Part, error) {
-			defer func() { asked <- ep.ID }()
+			defer func() { queried <- ep.ID }()
 			switch ep.ID {
 			case "e1":
 				return nil, context.DeadlineExceeded
@@ -99,14 +99,14 @@
 		},
 		After: func(_ clock.Milli, work func()) { go work() },
 	})
-	gom.Eventually(hms.hasJoined, 5*time.Second).Should(gomega.BeTrue())
+	gom.Eventually(crd.hasJoined, 5*time.Second).Should(gomega.BeTrue())
 	for range 3 {
-		hms.placer(vw, "models")
+		crd.promptCoordinator(vw, "models")
 	}
-	gom.Eventually(func() int { return len(asked) }, 5*time.Second).Should(gomega.Equal(6))
+	gom.Eventually(func() int { return len(queried) }, 5*time.Second).Should(gomega.Equal(6))
 	gom.Eventually(func() string {
-		seat, _ := hms.Place(context.Background(), vw, "models", "r/0", place.Ask{Prompt: prm})
+		seat, _ := crd.Place(context.Background(), vw, "models", "r/0", place.Ask{Prompt: prm})
 		return string(seat.ID)
 	}, 5*time.Second).Should(gomega.Equal("e4"))
-	gom.Expect(asked).To(gomega.HaveLen(6))
+	gom.Expect(queried).To(gomega.HaveLen(6))
 }
--- a/internal/homes/places.go
+++ b/internal/homes/places.go
@@ -16,248 +16,249 @@
 	"amaranthvalve/pkg/place"
 )
 
-// One instance places the prompts of a pool of model engines for all, the first of those that
-// would gather it. It is asked before a request is sent, and told when its first event
-// has come and when it has ended. Who doesn't answer is not waited for: the asker places by what
-// it knows itself, as it always notes its own requests too.
+// The coordinator of a pool of model engines places the prompts of all instances. It gets a
+// placement request before a prompt is sent, and a report of its first event and of its end. An
+// unresponsive coordinator is not waited for: the instance then places by its own records, as it
+// always records its own requests too.
 
 const (
-	// placeWait bounds the question: a few times the way there and back between data
-	// centres, and little against the time that a prompt is read.
-	placeWait = 30 * time.Millisecond
-	// unseatedMost is how many questions for a place in a row may get no answer in
-	// time before the next instance is asked. One that is merely busy answers some.
-	unseatedMost = 4
-	// wordsEvery is how long words on requests are gathered for one message.
-	wordsEvery = 5 * clock.Milli(1)
-	// wordsWait bounds the message that carries them.
-	wordsWait = time.Second
+	// placeTimeout bounds a placement request: a few round trips between data centres, and short
+	// against the time to read a prompt.
+	placeTimeout = 30 * time.Millisecond
+	// maxPlaceTimeouts is the number of consecutive placement requests without an answer after
+	// which the next instance becomes the coordinator. One that is merely busy answers some.
+	maxPlaceTimeouts = 4
+	// reportDelay is how long reports are collected for one message.
+	reportDelay = 5 * clock.Milli(1)
+	// reportTimeout bounds the message that carries reports.
+	reportTimeout = time.Second
 )
 
-// seating asks for a place.
-type seating struct {
+// placeRequest asks for the placement of a prompt.
+type placeRequest struct {
 	Pool   string    `cbor:"1,keyasint"`
 	Ticket string    `cbor:"2,keyasint"`
 	Ask    place.Ask `cbor:"3,keyasint"`
-	// Aim tells that nothing is sent yet: no place is taken.
+	// Aim asks for the probable engine only: no slot is taken.
 	Aim bool `cbor:"4,keyasint,omitempty"`
 }
 
-// seated is the answer.
-type seated struct {
+// placeReply answers a placeRequest.
+type placeReply struct {
 	ID   string      `cbor:"1,keyasint,omitempty"`
 	From string      `cbor:"2,keyasint,omitempty"`
 	Read clock.Milli `cbor:"3,keyasint,omitempty"`
 }
 
-// word tells of a request that was placed.
-type word struct {
+// report is the progress of a placed request.
+type report struct {
 	Pool   string `cbor:"1,keyasint"`
 	Ticket string `cbor:"2,keyasint"`
-	// Ended tells that the request has ended, and not that its first event came.
+	// Ended is set at the end of the request, and unset at its first event.
 	Ended bool         `cbor:"3,keyasint,omitempty"`
 	End   place.Ending `cbor:"4,keyasint,omitempty"`
-	// Span is how long the first event took, or the longest pause.
+	// Span is the time to the first event, or at the end the longest pause between events.
 	Span clock.Milli `cbor:"5,keyasint,omitempty"`
 }
 
-// Seat is a place for a request, and who chose it.
+// Seat is the placement of a request, and the coordinator that chose it.
 type Seat struct {
 	pools.Target
-	placer ident.Incarnation
+	promptCoordinator ident.Incarnation
 }
 
-// Place chooses the endpoint of a final call, and counts the request there.
-func (hms *Homes) Place(ctx context.Context, vw *state.View, pool, ticket string, ask place.Ask) (Seat, bool) {
+// Place chooses the endpoint of a final call and counts the request there.
+func (crd *Homes) Place(ctx context.Context, vw *state.View, pool, ticket string, ask place.Ask) (Seat, bool) {
 	if pol, ok := vw.Plan().Pool(pool); ok && pol.Engine() == nil {
-		return hms.placePlain(ctx, vw, pool, ask)
+		return crd.placePlain(ctx, vw, pool, ask)
 	}
-	who := hms.placer(vw, pool)
-	if who == hms.set.Control.Self() {
-		return hms.pick(pool, ticket, ask, hms.keeps(vw, pool))
+	inc := crd.promptCoordinator(vw, pool)
+	if inc == crd.set.Control.Self() {
+		return crd.pick(pool, ticket, ask, crd.rateShare(vw, pool))
 	}
-	if std, ok := hms.seatAt(ctx, who, seating{Pool: pool, Ticket: ticket, Ask: ask}); ok {
-		if tgt, ok := hms.set.Pools.Take(pool, std.ID, std.From, ticket, ask); ok {
-			return Seat{Target: tgt, placer: who}, true
+	if prp, ok := crd.requestPlace(ctx, inc, placeRequest{Pool: pool, Ticket: ticket, Ask: ask}); ok {
+		if tgt, ok := crd.set.Pools.Take(pool, prp.ID, prp.From, ticket, ask); ok {
+			return Seat{Target: tgt, promptCoordinator: inc}, true
 		}
 	}
-	return hms.pick(pool, ticket, ask, 0)
+	return crd.pick(pool, ticket, ask, 0)
 }
 
-// pick chooses by what this instance knows; share is the part of the engines' rates that it
-// may send.
-func (hms *Homes) pick(pool, ticket string, ask place.Ask, share float64) (Seat, bool) {
-	tgt, ok := hms.set.Pools.Pick(pool, ticket, ask, share)
+// pick places a request by the records of this instance; share is the fraction of the engines'
+// declared rates that it may use.
+func (crd *Homes) pick(pool, ticket string, ask place.Ask, share float64) (Seat, bool) {
+	tgt, ok := crd.set.Pools.Pick(pool, ticket, ask, share)
 	if ok && tgt.Ticket != "" {
 		why, request := tgt.Why, ticket
 		if at := strings.LastIndexByte(ticket, '/'); at >= 0 {
 			request = ticket[:at]
 		}
-		hms.set.Log.Info().Str("request", request).Str("pool", pool).Str("endpoint", string(tgt.ID)).Int("tokens", ask.Prompt.In).Int("held_tokens", why.Held).
+		crd.set.Log.Info().Str("request", request).Str("pool", pool).Str("endpoint", string(tgt.ID)).Int("tokens", ask.Prompt.In).Int("held_tokens", why.Held).
 			Int64("wait_ms", int64(why.Wait)).Int64("read_ms", int64(why.Read)).Int("streams", why.Streams).Str("fetch_from", tgt.From).Int("avoided", len(ask.Avoid)).Msg("engine chosen")
 	}
 	return Seat{Target: tgt}, ok
 }
 
-// Aim chooses the model engine that a request will probably go to, and gives the time in
-// which it reads the prompt; false if there is none.
-func (hms *Homes) Aim(ctx context.Context, vw *state.View, pool string, ask place.Ask) (eng place.Engine, read clock.Milli, ok bool) {
-	if who := hms.placer(vw, pool); who != hms.set.Control.Self() {
-		if std, ok := hms.seatAt(ctx, who, seating{Pool: pool, Ask: ask, Aim: true}); ok {
-			if eng, ok := hms.set.Pools.Find(pool, std.ID); ok {
-				return eng, std.Read, true
+// Aim returns the model engine that a request will probably go to and its time to read the prompt;
+// false if there is none.
+func (crd *Homes) Aim(ctx context.Context, vw *state.View, pool string, ask place.Ask) (eng place.Engine, read clock.Milli, ok bool) {
+	if inc := crd.promptCoordinator(vw, pool); inc != crd.set.Control.Self() {
+		if prp, ok := crd.requestPlace(ctx, inc, placeRequest{Pool: pool, Ask: ask, Aim: true}); ok {
+			if eng, ok := crd.set.Pools.Find(pool, prp.ID); ok {
+				return eng, prp.Read, true
 			}
 		}
 	}
-	seat, ok := hms.set.Pools.Aim(pool, ask, hms.keeps(vw, pool))
+	seat, ok := crd.set.Pools.Aim(pool, ask, crd.rateShare(vw, pool))
 	return seat.Engine, seat.Read, ok
 }
 
-// placer gives the instance that places a pool's prompts; this one for plain pools, which
-// each instance chooses in by itself.
-func (hms *Homes) placer(vw *state.View, pool string) ident.Incarnation {
+// promptCoordinator returns the instance that places a pool's prompts; this one for plain pools,
+// whose endpoints each instance chooses by itself. When this instance becomes the coordinator, it
+// queries the engines' caches.
+func (crd *Homes) promptCoordinator(vw *state.View, pool string) ident.Incarnation {
 	pol, ok := vw.Plan().Pool(pool)
-	if !ok || pol.Engine() == nil || hms.set.Link == nil || !hms.hasJoined() {
-		return hms.set.Control.Self()
+	if !ok || pol.Engine() == nil || crd.set.Link == nil || !crd.hasJoined() {
+		return crd.set.Control.Self()
 	}
-	who := hms.gatherer(vw, pool)
-	hms.terms.is(pool, who == hms.set.Control.Self(), hms.set.Clock.Now())
-	if hms.terms.begins(pool) {
-		go hms.learn(vw, pool)
+	inc := crd.coordinator(vw, pool)
+	crd.tenures.update(pool, inc == crd.set.Control.Self(), crd.set.Clock.Now())
+	if crd.tenures.takeNew(pool) {
+		go crd.queryCaches(vw, pool)
 	}
-	return who
+	return inc
 }
 
-func (hms *Homes) seatAt(ctx context.Context, who ident.Incarnation, stg seating) (seated, bool) {
-	body, err := cbor.Marshal(stg)
+func (crd *Homes) requestPlace(ctx context.Context, inc ident.Incarnation, prq placeRequest) (placeReply, bool) {
+	body, err := cbor.Marshal(prq)
 	if err != nil {
-		return seated{}, false
+		return placeReply{}, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, placeWait)
+	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
-	ans, err := hms.set.Link.Ask(ctx, who.Addr(), peer.Message{Kind: peer.PlaceWanted, From: hms.set.Control.Self(), To: who, Body: body})
-	hms.noteSeat(who, err == nil)
+	ans, err := crd.set.Link.Ask(ctx, inc.Addr(), peer.Message{Kind: peer.PlaceWanted, From: crd.set.Control.Self(), To: inc, Body: body})
+	crd.notePlaceReply(inc, err == nil)
 	if err != nil || ans.Kind != peer.OK {
-		hms.set.Log.Info().AnErr("error", err).Str("request", stg.Ticket).Str("pool", stg.Pool).Str("placer", string(who)).Msg("placed by itself")
-		return seated{}, false
+		crd.set.Log.Info().AnErr("error", err).Str("request", prq.Ticket).Str("pool", prq.Pool).Str("placer", string(inc)).Msg("no placement from the coordinator, placing locally")
+		return placeReply{}, false
 	}
-	var std seated
-	if cbor.Unmarshal(ans.Body, &std) != nil || std.ID == "" {
-		return seated{}, false
+	var prp placeReply
+	if cbor.Unmarshal(ans.Body, &prp) != nil || prp.ID == "" {
+		return placeReply{}, false
 	}
-	return std, true
+	return prp, true
 }
 
-// noteSeat notes whether an instance answered a question for a place.
-func (hms *Homes) noteSeat(who ident.Incarnation, answered bool) {
-	hms.mtx.Lock()
+// notePlaceReply records whether an instance answered a placement request.
+func (crd *Homes) notePlaceReply(inc ident.Incarnation, answered bool) {
+	crd.mtx.Lock()
 	if answered {
-		delete(hms.unseated, who)
+		delete(crd.placeTimeouts, inc)
 	} else {
-		hms.unseated[who]++
+		crd.placeTimeouts[inc]++
 	}
-	lost := hms.unseated[who] >= unseatedMost
+	lost := crd.placeTimeouts[inc] >= maxPlaceTimeouts
 	if lost {
-		delete(hms.unseated, who)
+		delete(crd.placeTimeouts, inc)
 	}
-	hms.mtx.Unlock()
+	crd.mtx.Unlock()
 	if lost {
-		hms.set.Log.Warn().Str("placer", string(who)).Msg("placer lost")
-		hms.avoid(who)
+		crd.set.Log.Warn().Str("placer", string(inc)).Msg("coordinator does not answer placement requests")
+		crd.markUnresponsive(inc)
 	}
 }
 
-// Seat answers another instance that asks for a place; it is given to the link.
-func (hms *Homes) Seat(msg peer.Message) peer.Message {
-	ans := peer.Message{Kind: peer.Nack, From: hms.set.Control.Self()}
-	var stg seating
-	if cbor.Unmarshal(msg.Body, &stg) != nil {
+// Seat handles a placement request of another instance; it is registered with the link.
+func (crd *Homes) Seat(msg peer.Message) peer.Message {
+	ans := peer.Message{Kind: peer.Nack, From: crd.set.Control.Self()}
+	var prq placeRequest
+	if cbor.Unmarshal(msg.Body, &prq) != nil {
 		return ans
 	}
-	if vw := hms.set.Control.View(); vw.Plan() != nil {
-		hms.placer(vw, stg.Pool)
+	if vw := crd.set.Control.View(); vw.Plan() != nil {
+		crd.promptCoordinator(vw, prq.Pool)
 	}
-	var std seated
-	share := hms.Keeps(stg.Pool)
-	if stg.Aim {
-		if seat, ok := hms.set.Pools.Aim(stg.Pool, stg.Ask, share); ok {
-			std = seated{ID: seat.Engine.ID, Read: seat.Read}
+	var prp placeReply
+	share := crd.Keeps(prq.Pool)
+	if prq.Aim {
+		if seat, ok := crd.set.Pools.Aim(prq.Pool, prq.Ask, share); ok {
+			prp = placeReply{ID: seat.Engine.ID, Read: seat.Read}
 		}
-	} else if seat, ok := hms.pick(stg.Pool, stg.Ticket, stg.Ask, share); ok {
-		std = seated{ID: string(seat.ID), From: seat.From}
+	} else if seat, ok := crd.pick(prq.Pool, prq.Ticket, prq.Ask, share); ok {
+		prp = placeReply{ID: string(seat.ID), From: seat.From}
 	}
-	if body, err := cbor.Marshal(std); err == nil {
+	if body, err := cbor.Marshal(prp); err == nil {
 		ans.Kind, ans.Body = peer.OK, body
 	}
 	return ans
 }
 
-// First notes that the first event of a request came, and how long it took.
-func (hms *Homes) First(pool string, seat Seat, took clock.Milli) {
+// First records the first event of a request and the time that it took.
+func (crd *Homes) First(pool string, seat Seat, took clock.Milli) {
 	if seat.Ticket == "" {
 		return
 	}
-	hms.set.Pools.First(pool, seat.Ticket, took)
-	hms.words.say(hms, seat.placer, word{Pool: pool, Ticket: seat.Ticket, Span: took})
+	crd.set.Pools.First(pool, seat.Ticket, took)
+	crd.reports.add(crd, seat.promptCoordinator, report{Pool: pool, Ticket: seat.Ticket, Span: took})
 }
 
-// End notes that a request at a model engine has ended, and the longest pause between its events.
-func (hms *Homes) End(pool string, seat Seat, end place.Ending, pause clock.Milli) {
+// End records the end of a request at a model engine and the longest pause between its events.
+func (crd *Homes) End(pool string, seat Seat, end place.Ending, pause clock.Milli) {
 	if seat.Ticket == "" {
 		return
 	}
-	hms.set.Pools.End(pool, seat.Ticket, end, pause)
-	hms.words.say(hms, seat.placer, word{Pool: pool, Ticket: seat.Ticket, Ended: true, End: end, Span: pause})
+	crd.set.Pools.End(pool, seat.Ticket, end, pause)
+	crd.reports.add(crd, seat.promptCoordinator, report{Pool: pool, Ticket: seat.Ticket, Ended: true, End: end, Span: pause})
 }
 
-// Heard takes words on requests that were placed here; it is given to the link.
-func (hms *Homes) Heard(msg peer.Message) peer.Message {
-	var list []word
+// Heard handles reports on requests that were placed here; it is registered with the link.
+func (crd *Homes) Heard(msg peer.Message) peer.Message {
+	var list []report
 	if cbor.Unmarshal(msg.Body, &list) != nil {
-		return peer.Message{Kind: peer.Nack, From: hms.set.Control.Self()}
+		return peer.Message{Kind: peer.Nack, From: crd.set.Control.Self()}
 	}
-	for _, wrd := range list {
-		if wrd.Ended {
-			hms.set.Pools.End(wrd.Pool, wrd.Ticket, wrd.End, wrd.Span)
+	for _, rpt := range list {
+		if rpt.Ended {
+			crd.set.Pools.End(rpt.Pool, rpt.Ticket, rpt.End, rpt.Span)
 			continue
 		}
-		hms.set.Pools.First(wrd.Pool, wrd.Ticket, wrd.Span)
+		crd.set.Pools.First(rpt.Pool, rpt.Ticket, rpt.Span)
 	}
-	return peer.Message{Kind: peer.OK, From: hms.set.Control.Self()}
+	return peer.Message{Kind: peer.OK, From: crd.set.Control.Self()}
 }
 
-// words are what is to be told to those who placed requests. A word that is lost is made up
-// for by time: a placer forgets requests of which it hears nothing.
-type words struct {
-	mtx   sync.Mutex
-	byWho map[ident.Incarnation][]word
+// reports collects the reports for each coordinator. Lost reports are not repeated: a coordinator
+// drops requests without a report after a while.
+type reports struct {
+	mtx           sync.Mutex
+	byCoordinator map[ident.Incarnation][]report
 }
 
-func (wds *words) say(hms *Homes, who ident.Incarnation, wrd word) {
-	if who == "" {
+func (rps *reports) add(crd *Homes, inc ident.Incarnation, rpt report) {
+	if inc == "" {
 		return
 	}
-	wds.mtx.Lock()
-	defer wds.mtx.Unlock()
-	if wds.byWho == nil {
-		wds.byWho = map[ident.Incarnation][]word{}
+	rps.mtx.Lock()
+	defer rps.mtx.Unlock()
+	if rps.byCoordinator == nil {
+		rps.byCoordinator = map[ident.Incarnation][]report{}
 	}
-	if len(wds.byWho[who]) == 0 {
-		hms.set.After(wordsEvery, func() { wds.send(hms, who) })
+	if len(rps.byCoordinator[inc]) == 0 {
+		crd.set.After(reportDelay, func() { rps.send(crd, inc) })
 	}
-	wds.byWho[who] = append(wds.byWho[who], wrd)
+	rps.byCoordinator[inc] = append(rps.byCoordinator[inc], rpt)
 }
 
-func (wds *words) send(hms *Homes, who ident.Incarnation) {
-	wds.mtx.Lock()
-	list := wds.byWho[who]
-	delete(wds.byWho, who)
-	wds.mtx.Unlock()
+func (rps *reports) send(crd *Homes, inc ident.Incarnation) {
+	rps.mtx.Lock()
+	list := rps.byCoordinator[inc]
+	delete(rps.byCoordinator, inc)
+	rps.mtx.Unlock()
 	body, err := cbor.Marshal(list)
 	if err != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), wordsWait)
+	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	_, _ = hms.set.Link.Ask(ctx, who.Addr(), peer.Message{Kind: peer.PlaceTold, From: hms.set.Control.Self(), Body: body})
+	_, _ = crd.set.Link.Ask(ctx, inc.Addr(), peer.Message{Kind: peer.PlaceTold, From: crd.set.Control.Self(), Body: body})
 }
--- /dev/null
+++ b/internal/homes/tenures.go
@@ -0,0 +1,108 @@
+package homes
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"amaranthvalve/internal/state"
+	"amaranthvalve/internal/talk"
+	"amaranthvalve/pkg/clock"
+)
+
+const (
+	// maxCacheQueries bounds the engines that are queried when this instance becomes the
+	// coordinator of a pool, cacheQueryParallel the concurrent queries, and cacheQueryTimeout each
+	// answer. An answer is a few kilobytes and delays the engine by less than a step.
+	maxCacheQueries    = 64
+	cacheQueryParallel = 16
+	cacheQueryTimeout  = 300 * time.Millisecond
+)
+
+// tenures records since when this instance coordinates pools. The zero value is empty.
+type tenures struct {
+	mtx    sync.Mutex
+	starts map[string]clock.Milli
+	// unseen has the pools whose beginning takeNew has not returned yet.
+	unseen map[string]bool
+}
+
+// update records whether this instance coordinates a pool now.
+func (ten *tenures) update(pool string, mine bool, now clock.Milli) {
+	ten.mtx.Lock()
+	defer ten.mtx.Unlock()
+	if ten.starts == nil {
+		ten.starts, ten.unseen = map[string]clock.Milli{}, map[string]bool{}
+	}
+	_, was := ten.starts[pool]
+	switch {
+	case mine && !was:
+		ten.starts[pool], ten.unseen[pool] = now, true
+	case !mine && was:
+		delete(ten.starts, pool)
+	}
+}
+
+// takeNew reports, once for each time, that this instance has become the coordinator of a pool.
+func (ten *tenures) takeNew(pool string) bool {
+	ten.mtx.Lock()
+	defer ten.mtx.Unlock()
+	fresh := ten.unseen[pool]
+	delete(ten.unseen, pool)
+	return fresh
+}
+
+// since returns when this instance became the coordinator of a pool.
+func (ten *tenures) since(pool string) clock.Milli {
+	ten.mtx.Lock()
+	defer ten.mtx.Unlock()
+	return ten.starts[pool]
+}
+
+// queryCaches queries the prompt caches of a pool's engines.
+//
+// The previous coordinator knew their contents and has stopped or died. Placed by rendezvous
+// hashing alone, prompts go to other engines than those that have read them: after a loss of all
+// instances, or in a rolling restart with its seven successions, more tokens were read again than
+// in all the rest of the time.
+func (crd *Homes) queryCaches(vw *state.View, pool string) {
+	if crd.set.Held == nil {
+		return
+	}
+	began := crd.set.Clock.Now()
+	slots := make(chan struct{}, cacheQueryParallel)
+	var grp sync.WaitGroup
+	var mtx sync.Mutex
+	queried, failed, parts := 0, 0, 0
+	for _, ep := range vw.Endpoints() {
+		if _, rated := vw.Rate(ep.ID); rated || ep.Pool != pool || ep.Leaving || queried >= maxCacheQueries {
+			continue
+		}
+		queried++
+		grp.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			count, err := crd.queryCache(ep)
+			mtx.Lock()
+			defer mtx.Unlock()
+			parts += count
+			if err != nil {
+				failed++
+			}
+		})
+	}
+	grp.Wait()
+	crd.set.Log.Info().Str("pool", pool).Int("engines", queried).Int("failed", failed).Int("parts", parts).
+		Int64("took_ms", int64(crd.set.Clock.Since(began))).Msg("became coordinator, queried prompt caches of engines")
+}
+
+func (crd *Homes) queryCache(ep talk.Endpoint) (int, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), cacheQueryTimeout)
+	defer cancel()
+	parts, err := crd.set.Held(ctx, ep)
+	if err != nil {
+		return 0, err
+	}
+	crd.set.Pools.Holds(ep.Pool, ep.ID, parts)
+	return len(parts), nil
+}
--- a/internal/homes/waits.go
+++ b/internal/homes/waits.go
@@ -14,174 +14,175 @@
 	"amaranthvalve/pkg/ident"
 )
 
-// An instance is told with each order how long a piece that comes next would wait. With
-// some requests a second at each of many instances that word is half a second old when
-// the next request comes, as long as a whole queue. Those let in by it were late when
-// the queue had grown meanwhile, and took places and room from those that were in time.
-// So the gatherers are asked before a request is let in. They are also who can tell that
-// it came before: a caller that was refused comes back to any instance.
+// Each answer to an order includes the estimated wait of the next item. When each of many instances
+// sends a few requests per second, that estimate is half a second old at the next request, as long
+// as a whole queue takes. Requests admitted by it were late when the queue had grown meanwhile, and
+// took slots and result storage from requests that were in time. The coordinators are therefore
+// queried before a request is admitted. They also know whether the request came before: a refused
+// caller may retry at any instance.
 
 const (
-	// askWait bounds the question: a few times the way there and back between data
-	// centres. The words from before are used after that.
-	askWait = 30 * time.Millisecond
-	// backFor is how long a request is remembered, so that it is known when it comes
-	// back: longer than the time that most callers have.
-	backFor = 20 * clock.Second
-	// backMost bounds how many are: 20 s of 1,000 requests a second, 1 MB.
-	backMost = 20000
+	// waitQueryTimeout bounds a wait query: a few round trips between data centres. Earlier
+	// estimates are used after that.
+	waitQueryTimeout = 30 * time.Millisecond
+	// arrivalTTL is how long the first arrival of a request is kept, so that retries are
+	// recognised: longer than the deadline of most callers.
+	arrivalTTL = 20 * clock.Second
+	// maxArrivals bounds the kept arrivals: 20 s of 1,000 requests per second, 1 MB.
+	maxArrivals = 20000
 )
 
-// waited is a gatherer's word on its queue at an instant.
-type waited struct {
+// waitEstimate is a coordinator's wait estimate at an instant.
+type waitEstimate struct {
 	span clock.Milli
 	at   clock.Milli
 }
 
-func (hms *Homes) note(pool string, span clock.Milli) {
-	hms.mtx.Lock()
-	defer hms.mtx.Unlock()
-	hms.waits[pool] = waited{span: span, at: hms.set.Clock.Now()}
+func (crd *Homes) noteWait(pool string, span clock.Milli) {
+	crd.mtx.Lock()
+	defer crd.mtx.Unlock()
+	crd.waitEstimates[pool] = waitEstimate{span: span, at: crd.set.Clock.Now()}
 }
 
-// Wait estimates how long a piece of a pool would wait: what its gatherer said
-// last, less the time since.
-func (hms *Homes) Wait(pool string) clock.Milli {
-	hms.mtx.Lock()
-	defer hms.mtx.Unlock()
-	wtd := hms.waits[pool]
-	return max(wtd.span-hms.set.Clock.Since(wtd.at), 0)
+// Wait estimates how long an item of a pool would wait: the coordinator's last estimate, less the
+// time since.
+func (crd *Homes) Wait(pool string) clock.Milli {
+	crd.mtx.Lock()
+	defer crd.mtx.Unlock()
+	est := crd.waitEstimates[pool]
+	return max(est.span-crd.set.Clock.Since(est.at), 0)
 }
 
-// question is what a gatherer is asked of a request before it is let in.
-type question struct {
-	// Mark names the request, whichever attempt of its caller's it is; zero if this
-	// gatherer is not the one that remembers it.
-	Mark  uint64   `cbor:"1,keyasint,omitempty"`
-	Pools []string `cbor:"2,keyasint"`
+// waitQuery asks a coordinator for wait estimates before a request is admitted.
+type waitQuery struct {
+	// Fingerprint identifies the request across the attempts of its caller; zero if this
+	// coordinator does not record its first arrival.
+	Fingerprint uint64   `cbor:"1,keyasint,omitempty"`
+	Pools       []string `cbor:"2,keyasint"`
 }
 
-// told is the answer.
-type told struct {
-	// Waits has how long a piece that comes now would wait at each pool.
+// waitReply answers a waitQuery.
+type waitReply struct {
+	// Waits has the estimated wait of an item that is added now, for each pool.
 	Waits []clock.Milli `cbor:"1,keyasint"`
-	// Spent is how long ago the request came for the first time.
-	Spent clock.Milli `cbor:"2,keyasint,omitempty"`
+	// Elapsed is the time since the first arrival of the request.
+	Elapsed clock.Milli `cbor:"2,keyasint,omitempty"`
 }
 
-// Ask asks the gatherers of pools how long a piece would wait, for [Homes.Wait] to tell,
-// and that of the first one how long ago the request came for the first time, to any
-// instance. Where one doesn't answer, what it said last is used: whether it is gone is
-// found out by orders and probes.
-func (hms *Homes) Ask(ctx context.Context, vw *state.View, mark uint64, pools []string) (spent clock.Milli) {
-	byWho := map[ident.Incarnation]question{}
+// Ask queries the coordinators of pools for the wait estimates that [Homes.Wait] returns, and
+// returns the time since the first arrival of the request at any instance, which the coordinator of
+// the first pool records. The last estimate of a coordinator that doesn't answer stays in use;
+// orders and probes find out whether it is gone.
+func (crd *Homes) Ask(ctx context.Context, vw *state.View, fp uint64, pools []string) (elapsed clock.Milli) {
+	queries := map[ident.Incarnation]waitQuery{}
 	for i, pool := range pools {
-		who := hms.gatherer(vw, pool)
-		qst := byWho[who]
-		qst.Pools = append(qst.Pools, pool)
+		inc := crd.coordinator(vw, pool)
+		wqr := queries[inc]
+		wqr.Pools = append(wqr.Pools, pool)
 		if i == 0 {
-			qst.Mark = mark
+			wqr.Fingerprint = fp
 		}
-		byWho[who] = qst
+		queries[inc] = wqr
 	}
-	ctx, cancel := context.WithTimeout(ctx, askWait)
+	ctx, cancel := context.WithTimeout(ctx, waitQueryTimeout)
 	defer cancel()
-	var ago atomic.Int64
+	var total atomic.Int64
 	var grp sync.WaitGroup
-	for who, qst := range byWho {
+	for inc, wqr := range queries {
 		grp.Go(func() {
-			tld, ok := hms.question(ctx, who, qst)
+			wrp, ok := crd.queryWait(ctx, inc, wqr)
 			if !ok {
 				return
 			}
-			for i, pool := range qst.Pools {
-				hms.note(pool, tld.Waits[i])
+			for i, pool := range wqr.Pools {
+				crd.noteWait(pool, wrp.Waits[i])
 			}
-			ago.Add(int64(tld.Spent))
+			total.Add(int64(wrp.Elapsed))
 		})
 	}
 	grp.Wait()
-	return clock.Milli(ago.Load())
+	return clock.Milli(total.Load())
 }
 
-// gatherer gives the instance that an order for a pool would go to.
-func (hms *Homes) gatherer(vw *state.View, pool string) ident.Incarnation {
-	for _, who := range vw.Gatherers(pool) {
-		if !hms.isSilent(who) {
-			return who
+// coordinator returns the instance that an order for a pool would go to.
+func (crd *Homes) coordinator(vw *state.View, pool string) ident.Incarnation {
+	for _, inc := range vw.Gatherers(pool) {
+		if !crd.isUnresponsive(inc) {
+			return inc
 		}
 	}
-	return hms.set.Control.Self()
+	return crd.set.Control.Self()
 }
 
-// question asks one gatherer, which may be this instance.
-func (hms *Homes) question(ctx context.Context, who ident.Incarnation, qst question) (told, bool) {
-	if who == hms.set.Control.Self() || hms.set.Link == nil {
-		return hms.tell(qst), true
+// queryWait queries one coordinator, which may be this instance.
+func (crd *Homes) queryWait(ctx context.Context, inc ident.Incarnation, wqr waitQuery) (waitReply, bool) {
+	if inc == crd.set.Control.Self() || crd.set.Link == nil {
+		return crd.answerWait(wqr), true
 	}
-	body, err := cbor.Marshal(qst)
+	body, err := cbor.Marshal(wqr)
 	if err != nil {
-		return told{}, false
+		return waitReply{}, false
 	}
-	msg := peer.Message{Kind: peer.WaitWanted, From: hms.set.Control.Self(), To: who, Body: body}
-	ans, err := hms.set.Link.Ask(ctx, who.Addr(), msg)
+	msg := peer.Message{Kind: peer.WaitWanted, From: crd.set.Control.Self(), To: inc, Body: body}
+	ans, err := crd.set.Link.Ask(ctx, inc.Addr(), msg)
 	if err != nil || ans.Kind != peer.OK {
-		return told{}, false
+		return waitReply{}, false
 	}
-	var tld told
-	if cbor.Unmarshal(ans.Body, &tld) != nil || len(tld.Waits) != len(qst.Pools) {
-		return told{}, false
+	var wrp waitReply
+	if cbor.Unmarshal(ans.Body, &wrp) != nil || len(wrp.Waits) != len(wqr.Pools) {
+		return waitReply{}, false
 	}
-	return tld, true
+	return wrp, true
 }
 
-func (hms *Homes) tell(qst question) told {
-	tld := told{Waits: make([]clock.Milli, len(qst.Pools))}
-	for i, pool := range qst.Pools {
-		tld.Waits[i] = hms.set.Desk.Wait(pool)
+func (crd *Homes) answerWait(wqr waitQuery) waitReply {
+	wrp := waitReply{Waits: make([]clock.Milli, len(wqr.Pools))}
+	for i, pool := range wqr.Pools {
+		wrp.Waits[i] = crd.set.Desk.Wait(pool)
 	}
-	if qst.Mark != 0 {
-		tld.Spent = hms.came.spent(qst.Mark, hms.set.Clock.Now())
+	if wqr.Fingerprint != 0 {
+		wrp.Elapsed = crd.arrivals.elapsed(wqr.Fingerprint, crd.set.Clock.Now())
 	}
-	return tld
+	return wrp
 }
 
-// Tell answers another instance's question; it is given to the link.
-func (hms *Homes) Tell(msg peer.Message) peer.Message {
-	ans := peer.Message{Kind: peer.Nack, From: hms.set.Control.Self()}
-	var qst question
-	if cbor.Unmarshal(msg.Body, &qst) != nil {
+// Tell handles a wait query of another instance; it is registered with the link.
+func (crd *Homes) Tell(msg peer.Message) peer.Message {
+	ans := peer.Message{Kind: peer.Nack, From: crd.set.Control.Self()}
+	var wqr waitQuery
+	if cbor.Unmarshal(msg.Body, &wqr) != nil {
 		return ans
 	}
-	if body, err := cbor.Marshal(hms.tell(qst)); err == nil {
+	if body, err := cbor.Marshal(crd.answerWait(wqr)); err == nil {
 		ans.Kind, ans.Body = peer.OK, body
 	}
 	return ans
 }
 
-// came remembers when requests came for the first time, the latest backMost of them.
-// The zero value remembers none.
-type came struct {
+// arrivals records the first arrivals of requests, the latest maxArrivals of them. The zero value
+// is empty.
+type arrivals struct {
 	mtx   sync.Mutex
 	first map[uint64]clock.Milli
 	order []uint64
 }
 
-// spent gives how long ago a request came for the first time, and remembers it.
-func (cme *came) spent(mark uint64, now clock.Milli) clock.Milli {
-	cme.mtx.Lock()
-	defer cme.mtx.Unlock()
-	if cme.first == nil {
-		cme.first = map[uint64]clock.Milli{}
+// elapsed returns the time since the first arrival of a request, and records the arrival if it is
+// the first.
+func (arr *arrivals) elapsed(fp uint64, now clock.Milli) clock.Milli {
+	arr.mtx.Lock()
+	defer arr.mtx.Unlock()
+	if arr.first == nil {
+		arr.first = map[uint64]clock.Milli{}
 	}
-	for len(cme.order) > 0 && (len(cme.order) > backMost || now-cme.first[cme.order[0]] > backFor) {
-		delete(cme.first, cme.order[0])
-		cme.order = cme.order[1:]
+	for len(arr.order) > 0 && (len(arr.order) > maxArrivals || now-arr.first[arr.order[0]] > arrivalTTL) {
+		delete(arr.first, arr.order[0])
+		arr.order = arr.order[1:]
 	}
-	at, ok := cme.first[mark]
+	at, ok := arr.first[fp]
 	if !ok {
-		cme.first[mark] = now
-		cme.order = append(cme.order, mark)
+		arr.first[fp] = now
+		arr.order = append(arr.order, fp)
 		return 0
 	}
 	return now - at
