--- a/internal/relay/allowed.go
+++ b/internal/relay/allowed.go
@@ -6,10 +6,10 @@
 	"net"
 )
 
-// errWithheld tells that a request was not sent because it is allowed no longer.
-var errWithheld = errors.New("the request is allowed no longer")
+// errWithheld is returned for a request that was not sent because it is no longer allowed.
+var errWithheld = errors.New("the request is no longer allowed")
 
-// allowedKey finds what tells whether a request is still allowed in its context.
+// allowedKey is the context key of a request's Allowed function.
 type allowedKey struct{}
 
 func withAllowed(ctx context.Context, allowed func() bool) context.Context {
@@ -19,9 +19,9 @@
 	return context.WithValue(ctx, allowedKey{}, allowed)
 }
 
-// withheld dials, and gives no connection to a request that is allowed no longer. Each
-// connection is dialled for one request.
-func withheld(dlr *net.Dialer) func(ctx context.Context, network, addr string) (net.Conn, error) {
+// dialAllowed returns a dial function that closes the new connection if its request is no longer
+// allowed. Each connection is dialled for one request.
+func dialAllowed(dlr *net.Dialer) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		con, err := dlr.DialContext(ctx, network, addr)
 		if err != nil {
--- a/internal/relay/allowed_test.go
+++ b/internal/relay/allowed_test.go
@@ -14,9 +14,8 @@
 	"amaranthvalve/platform"
 )
 
-// Guards against a request that is sent although it was allowed no longer when its connection
-// was had.
-func TestNothingIsSentOnceItIsNotAllowed(t *testing.T) {
+// Guards against sending a request that was no longer allowed when its connection was established.
+func TestDisallowedRequestIsNotSent(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	lsn, err := net.Listen("tcp", "127.0.0.1:0")
 	gom.Expect(err).NotTo(gomega.HaveOccurred())
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -5,25 +5,24 @@
 	"io"
 )
 
-// maxEvent bounds one event, in bytes; what is longer is passed on in parts and
-// can't be resumed.
-const maxEvent = 1 << 20
+// maxEventBytes bounds one event; the stream counts as cut at a longer one.
+const maxEventBytes = 1 << 20
 
-// Events splits a stream into whole events. An engine may stop in the middle of
-// one; what was not handed out as an event has not reached the caller, and the
-// stream can go on elsewhere after the last whole one.
+// Events splits a stream into whole server-sent events. An engine may fail in the middle of one; a
+// partial event has not reached the caller, so the stream can be resumed elsewhere after the last
+// whole one.
 type Events struct {
 	rdr io.Reader
 	buf []byte
 	err error
 }
 
-// NewEvents reads events from a stream.
+// NewEvents returns a reader of the events of a stream.
 func NewEvents(rdr io.Reader) *Events { return &Events{rdr: rdr} }
 
-// Next gives the next event with the empty line that ends it. At the end of a
-// stream that was closed well it gives io.EOF, and before it whatever stood
-// behind the last event. Any other error means that the stream was cut.
+// Next returns the next event with the empty line that ends it. At the end of a stream that was
+// closed properly it returns whatever follows the last event, and then io.EOF. Any other error
+// means that the stream was cut.
 func (evs *Events) Next() ([]byte, error) {
 	for {
 		if end := eventEnd(evs.buf); end > 0 {
@@ -52,12 +51,12 @@
 	n, err := evs.rdr.Read(part[:])
 	evs.buf = append(evs.buf, part[:n]...)
 	evs.err = err
-	if len(evs.buf) > maxEvent && evs.err == nil {
+	if len(evs.buf) > maxEventBytes && evs.err == nil {
 		evs.err = io.ErrShortBuffer
 	}
 }
 
-// eventEnd gives the length of the first whole event, zero if there is none.
+// eventEnd returns the length of the first whole event, zero if there is none.
 func eventEnd(buf []byte) int {
 	end := 0
 	for _, mark := range []string{"\n\n", "\r\n\r\n"} {
--- a/internal/relay/events_test.go
+++ b/internal/relay/events_test.go
@@ -10,8 +10,8 @@
 	"github.com/onsi/gomega"
 )
 
-// TestEventsAreWhole: an engine dies in the middle of an event. What came of it is
-// not handed out, so that the stream can go on elsewhere after the one before.
+// TestEventsAreWhole checks that a partial event is not returned when an engine dies in the middle
+// of it, so that the stream can be resumed elsewhere after the previous one.
 func TestEventsAreWhole(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	cut := errors.New("reset")
@@ -25,7 +25,7 @@
 	gom.Expect(err).To(gomega.MatchError(cut))
 }
 
-// FuzzEvents: whatever comes, in whatever pieces, goes out unchanged.
+// FuzzEvents checks that any stream, read in parts of any size, is passed on unchanged.
 func FuzzEvents(f *testing.F) {
 	f.Add("id: 1\n\nid: 2\r\n\r\nrest")
 	f.Add("\n\n\n")
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -23,24 +23,22 @@
 
 // Times of a connection.
 const (
-	// dialWait bounds the opening of a connection: a machine without power
-	// answers nothing at all.
-	dialWait = 800 * time.Millisecond
-	// userTimeout is how long sent bytes may stay unacknowledged, and probes
-	// of a silent connection come every probeEvery. A connection that went
-	// silent would otherwise hold a request until its deadline. An endpoint
-	// that merely thinks acknowledges both.
-	userTimeout = 1500 * time.Millisecond
-	probeEvery  = time.Second
-	probeCount  = 2
+	// dialTimeout bounds the opening of a connection: a machine without power does not answer at
+	// all.
+	dialTimeout = 800 * time.Millisecond
+	// userTimeout is how long sent bytes may stay unacknowledged (TCP_USER_TIMEOUT); idle
+	// connections are probed every keepAliveInterval. A dead connection would otherwise hold a
+	// request until its deadline. An endpoint that is merely slow acknowledges both.
+	userTimeout       = 1500 * time.Millisecond
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 2
 )
 
-// Dialer returns a dialer whose connections notice when the other side has gone
-// silent.
+// Dialer returns a dialer whose connections detect an unreachable peer.
 func Dialer() *net.Dialer {
 	return &net.Dialer{
-		Timeout:         dialWait,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeEvery, Interval: probeEvery, Count: probeCount},
+		Timeout:         dialTimeout,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveProbes},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			var failed error
 			err := raw.Control(func(fd uintptr) {
@@ -54,74 +52,73 @@
 	}
 }
 
-// Kept returns a client whose connections are kept for calls that may be
-// repeated; idle is how long. heard is told of each answer; it may be nil.
+// Kept returns a client that reuses connections, for calls that may be repeated; idle connections
+// are closed after idle. heard is called with each answer; it may be nil.
 func Kept(idle time.Duration, heard Heard) *http.Client {
 	return &http.Client{
-		Transport: &hearing{heard: heard, next: &http.Transport{
+		Transport: &observedTransport{observe: heard, next: &http.Transport{
 			DialContext: Dialer().DialContext, DisableCompression: true,
-			MaxIdleConnsPerHost: keptPerHost, IdleConnTimeout: idle,
+			MaxIdleConnsPerHost: maxIdlePerHost, IdleConnTimeout: idle,
 		}},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
-// keptPerHost is enough for the calls to one address that overlap.
-const keptPerHost = 4
+// maxIdlePerHost covers the concurrent calls to one address.
+const maxIdlePerHost = 4
 
-// Relay passes requests on. It is made by [New] and safe for concurrent use.
+// Relay forwards requests to endpoints. It is created by [New] and safe for concurrent use.
 type Relay struct {
 	dia *talk.Dialect
 	trn http.RoundTripper
 }
 
-// New returns a relay that speaks a dialect. heard is told of each answer; it may be nil.
+// New returns a relay for a dialect. heard is called with each answer; it may be nil.
 func New(dia *talk.Dialect, heard Heard) *Relay {
-	return &Relay{dia: dia, trn: &hearing{heard: heard, next: &http.Transport{
-		DialContext: withheld(Dialer()), DisableCompression: true,
-		// No connection is kept. DisableKeepAlives would do so too, but would
-		// ask endpoints to close, and then none could be told from one that is
-		// leaving.
+	return &Relay{dia: dia, trn: &observedTransport{observe: heard, next: &http.Transport{
+		DialContext: dialAllowed(Dialer()), DisableCompression: true,
+		// No connection is reused. DisableKeepAlives would achieve that too, but sends "Connection:
+		// close" to endpoints; they would then answer the same, which could not be told from an
+		// endpoint that is leaving.
 		MaxIdleConnsPerHost: -1,
 	}}}
 }
 
-// Request is a caller's request, read whole.
+// Request is a caller's request with its complete body.
 type Request struct {
 	ID     string
 	Method string
 	Host   string
-	// Target is the request's target to the letter, query included.
+	// Target is the unmodified request target, including the query.
 	Target string
 	Header http.Header
 	Body   []byte
-	// Written is told when the request was written to an endpoint; it may be nil.
+	// Written is called when the request has been written to an endpoint; it may be nil.
 	Written func()
-	// Allowed is asked when a connection was had, before anything is written: opening one
-	// takes up to a second, and what was looked up before may hold no longer. It may be nil.
+	// Allowed is called when a connection has been established, before anything is written: opening
+	// one takes up to a second, and earlier checks may no longer hold. It may be nil.
 	Allowed func() bool
 }
 
-// Response is an endpoint's answer; its body is read from Body and must be
-// closed.
+// Response is an endpoint's answer. Body must be closed.
 type Response struct {
 	Status int
 	Header http.Header
 	Reply  talk.Reply
 	Body   io.ReadCloser
 	Length int64
-	// Framed tells that the end of the body is marked; one that isn't ends with its connection.
+	// Framed is set if the body has a length or is chunked; otherwise it ends with its connection.
 	Framed bool
 }
 
-// hopHeaders concern one connection only.
+// hopHeaders are the hop-by-hop headers.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// Do sends a request to an endpoint. The response is nil unless one came to this
-// request; a refusal comes with its response.
+// Do sends a request to an endpoint. The response is nil unless it answers this request; a refusal
+// comes with its response.
 func (rel *Relay) Do(ctx context.Context, addr string, rqs Request, snd talk.Send) (*Response, ending.Ending) {
 	var connected atomic.Bool
 	req, err := rel.request(ctx, addr, rqs, snd, &connected)
@@ -154,9 +151,8 @@
 	return rsp, end
 }
 
-// judge tells whose answer it is and what it proves. An answer that names no
-// request is nobody's: an engine's extra answers are told from ours by the name
-// alone.
+// judge classifies an answer by the request that it names and by what it proves. An answer without
+// a request ID is foreign: only the ID distinguishes it from an engine's extra answers.
 func (rel *Relay) judge(id string, rsp *Response) ending.Ending {
 	switch {
 	case rsp.Reply.NotRun || rsp.Reply.Misdirected:
@@ -170,10 +166,10 @@
 }
 
 func (rel *Relay) request(ctx context.Context, addr string, rqs Request, snd talk.Send, connected *atomic.Bool) (*http.Request, error) {
-	path, query, asked := strings.Cut(rqs.Target, "?")
+	path, query, hasQuery := strings.Cut(rqs.Target, "?")
 	req := &http.Request{
 		Method: rqs.Method, Host: rqs.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		URL:    &url.URL{Scheme: "http", Host: addr, Opaque: path, RawQuery: query, ForceQuery: asked},
+		URL:    &url.URL{Scheme: "http", Host: addr, Opaque: path, RawQuery: query, ForceQuery: hasQuery},
 		Header: rqs.Header.Clone(),
 	}
 	dropHop(req.Header)
@@ -181,7 +177,7 @@
 		req.Header.Del(name)
 	}
 	rel.dia.Dress(req.Header, snd)
-	// The library would name itself where the caller named nobody.
+	// Otherwise net/http would set its own User-Agent when the caller sent none.
 	if _, ok := req.Header["User-Agent"]; !ok {
 		req.Header["User-Agent"] = nil
 	}
@@ -191,8 +187,7 @@
 	return req.WithContext(withTrace(withAllowed(ctx, rqs.Allowed), connected, rqs.Written)), nil
 }
 
-// dropHop takes out the headers that concern one connection, those that its
-// Connection header names included.
+// dropHop removes the hop-by-hop headers, including those that the Connection header lists.
 func dropHop(hdr http.Header) {
 	for _, line := range hdr["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
--- a/internal/relay/trace.go
+++ b/internal/relay/trace.go
@@ -6,9 +6,9 @@
 	"sync/atomic"
 )
 
-// withTrace notes when a connection was had: a request that has a connection may have
-// been written, whatever error comes back. written is told when all of it was; it may
-// be nil.
+// withTrace records when a connection is established: a request with a connection may have been
+// written, whatever error is returned. written is called when all of the request has been written;
+// it may be nil.
 func withTrace(ctx context.Context, connected *atomic.Bool, written func()) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
