--- a/internal/batch/desk.go
+++ b/internal/batch/batcher.go
@@ -61,7 +61,7 @@
 
 // Sync updates the pools of a plan, the known endpoints, and the declared rates of some of these,
 // in requests per second.
-func (dsk *Desk) Sync(pln *plan.Plan, endpoints []talk.Endpoint, rates map[string]float64) {
+func (btr *Desk) Sync(pln *plan.Plan, endpoints []talk.Endpoint, rates map[string]float64) {
 	if pln == nil {
 		return
 	}
@@ -71,32 +71,32 @@
 	}
 	for name, pol := range pln.Pools() {
 		if spc := pol.Batch(); spc != nil {
-			dsk.pool(name).sync(*spc, makers[name], rates)
+			btr.pool(name).sync(*spc, makers[name], rates)
 		}
 	}
 }
 
-func (dsk *Desk) pool(name string) *pool {
-	dsk.mtx.Lock()
-	defer dsk.mtx.Unlock()
-	pol, ok := dsk.pools[name]
+func (btr *Desk) pool(name string) *pool {
+	btr.mtx.Lock()
+	defer btr.mtx.Unlock()
+	pol, ok := btr.pools[name]
 	if !ok {
-		pol = newPool(name, dsk.set)
-		dsk.pools[name] = pol
+		pol = newPool(name, btr.set)
+		btr.pools[name] = pol
 	}
 	return pol
 }
 
 // Make fills an order. It returns when all items are done, when one has failed for good, or when
 // the context ends; in the last two cases the results made so far are released.
-func (dsk *Desk) Make(ctx context.Context, ask Order) Filled {
-	return dsk.pool(ask.Pool).fill(ctx, ask)
+func (btr *Desk) Make(ctx context.Context, ask Order) Filled {
+	return btr.pool(ask.Pool).fill(ctx, ask)
 }
 
 // Free releases results at the endpoints that hold them.
-func (dsk *Desk) Free(frd Freed) { dsk.pool(frd.Pool).free(frd.Results) }
+func (btr *Desk) Free(rrq Freed) { btr.pool(rrq.Pool).free(rrq.Results) }
 
 // Wait estimates how long an item added now would wait in a pool coordinated by this instance.
-func (dsk *Desk) Wait(name string) clock.Milli { return dsk.pool(name).wait() }
+func (btr *Desk) Wait(name string) clock.Milli { return btr.pool(name).wait() }
 
 func afterFunc(span clock.Milli, work func()) { time.AfterFunc(span.Duration(), work) }
--- a/internal/batch/coalesce_test.go
+++ b/internal/batch/coalesce_test.go
@@ -27,12 +27,12 @@
 	ends := make(chan Filled, 3)
 	for i := range 3 {
 		go func() {
-			ends <- fxt.desk.Make(context.Background(), Order{
+			ends <- fxt.btr.Make(context.Background(), Order{
 				Pool: "ranks", Request: fmt.Sprint(i), Count: 2, Key: "k", Due: 20 * clock.Second, Until: 30 * clock.Second,
 			})
 		}()
 	}
-	gom.Eventually(fxt.desk.pool("ranks").numWaiting, soon).Should(gomega.Equal(6))
+	gom.Eventually(fxt.btr.pool("ranks").numWaiting, soon).Should(gomega.Equal(6))
 	gom.Expect(fxt.calls).To(gomega.BeEmpty())
 	(<-timers)()
 	gom.Eventually(fxt.calls, soon).Should(gomega.Receive(gomega.HaveLen(6)))
--- a/internal/batch/crash_test.go
+++ b/internal/batch/crash_test.go
@@ -20,11 +20,11 @@
 func TestItemsRunAloneAfterCrash(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	fxt := newFixture(20)
-	fxt.desk.pool("ranks").set.Ended = func(context.Context, string) bool { return true }
+	fxt.btr.pool("ranks").set.Ended = func(context.Context, string) bool { return true }
 	ends := make(chan Filled, 3)
 	for i := range 3 {
 		go func() {
-			ends <- fxt.desk.Make(context.Background(), Order{
+			ends <- fxt.btr.Make(context.Background(), Order{
 				Pool: "ranks", Request: fmt.Sprint(i), Count: 1, Key: "k", Due: 20 * clock.Second, Until: 30 * clock.Second,
 			})
 		}()
@@ -36,9 +36,9 @@
 		fxt.errs <- nil
 	}
 	for range 3 {
-		var fld Filled
-		gom.Eventually(ends, soon).Should(gomega.Receive(&fld))
-		gom.Expect(fld.Ended).To(gomega.Equal([]ident.Process{"rank-1"}))
+		var orr Filled
+		gom.Eventually(ends, soon).Should(gomega.Receive(&orr))
+		gom.Expect(orr.Ended).To(gomega.Equal([]ident.Process{"rank-1"}))
 	}
 }
 
@@ -52,15 +52,15 @@
 	}{{errors.New("connection reset"), false}, {refused, true}} {
 		gom := gomega.NewWithT(t)
 		fxt := newFixture(20)
-		fxt.desk.pool("ranks").set.Ended = func(context.Context, string) bool { return tst.ended }
+		fxt.btr.pool("ranks").set.Ended = func(context.Context, string) bool { return tst.ended }
 		out := fxt.order()
 		for _, err := range []error{tst.err, nil} {
 			gom.Eventually(fxt.calls, soon).Should(gomega.Receive())
 			fxt.errs <- err
 		}
-		var fld Filled
-		gom.Eventually(out, soon).Should(gomega.Receive(&fld))
-		gom.Expect(fld.Results).To(gomega.HaveLen(2))
-		gom.Expect(fld.Ended).To(gomega.BeEmpty())
+		var orr Filled
+		gom.Eventually(out, soon).Should(gomega.Receive(&orr))
+		gom.Expect(orr.Results).To(gomega.HaveLen(2))
+		gom.Expect(orr.Ended).To(gomega.BeEmpty())
 	}
 }
--- a/internal/batch/fetch_test.go
+++ b/internal/batch/fetch_test.go
@@ -19,7 +19,7 @@
 
 // fixture is a batcher with one pool of one endpoint whose answers are scripted.
 type fixture struct {
-	desk *Desk
+	btr *Desk
 	// calls receives the calls that the endpoint gets, errs supplies their errors, and flaw is the
 	// flaw reported for each item.
 	calls chan []talk.Item
@@ -48,7 +48,7 @@
 		},
 		Free: func(context.Context, *http.Client, string, []string) error { return nil },
 	}
-	fxt.desk = New(Setup{
+	fxt.btr = New(Setup{
 		Dialect: dia, After: after, Meter: meter.New(), Log: zerolog.Nop(), Share: 0.1, Reserve: 10, Window: 10 * clock.Second,
 		Fetched: func(lots []Lot) {
 			for _, lot := range lots {
@@ -59,7 +59,7 @@
 	pln, _ := plan.Compile(plan.Draft{Pools: []plan.DraftPool{{
 		Name: "ranks", Batch: &plan.DraftBatch{Places: 1, Most: most, Call: 1000, Item: 1, Link: 1000},
 	}}})
-	fxt.desk.Sync(pln, []talk.Endpoint{{ID: "rank-1", Pool: "ranks", Addr: "a:1"}}, nil)
+	fxt.btr.Sync(pln, []talk.Endpoint{{ID: "rank-1", Pool: "ranks", Addr: "a:1"}}, nil)
 	return fxt
 }
 
@@ -68,7 +68,7 @@
 	out := make(chan Filled, 1)
 	lot := Lot{Home: "here:1", Freed: Freed{Pool: "notes", Results: []Handle{{Name: "note-1"}}}}
 	go func() {
-		out <- fxt.desk.Make(context.Background(), Order{
+		out <- fxt.btr.Make(context.Background(), Order{
 			Pool: "ranks", Request: "r1", Stage: 1, Count: 2, Inputs: []string{"note-1"}, InputBytes: 1000,
 			Last: []Lot{lot}, Due: 20 * clock.Second, Until: 30 * clock.Second,
 		})
@@ -89,10 +89,10 @@
 	gom.Eventually(fxt.released, soon).Should(gomega.Receive(gomega.HaveField("Home", "here:1")))
 	gom.Expect(filled).To(gomega.BeEmpty(), "the call has not ended")
 	fxt.errs <- nil
-	var fld Filled
-	gom.Eventually(filled, soon).Should(gomega.Receive(&fld))
-	gom.Expect(fld.Fetched).To(gomega.BeTrue())
-	gom.Expect(fld.Results).To(gomega.HaveLen(2))
+	var orr Filled
+	gom.Eventually(filled, soon).Should(gomega.Receive(&orr))
+	gom.Expect(orr.Fetched).To(gomega.BeTrue())
+	gom.Expect(orr.Results).To(gomega.HaveLen(2))
 }
 
 // TestInputsAreHeldForOtherBatches checks that the inputs of a job whose two items go into two
@@ -166,8 +166,8 @@
 	for range 4 {
 		fxt.errs <- nil
 	}
-	gom.Expect(fxt.desk.Make(context.Background(), ask).Flaw).To(gomega.Equal(talk.NoFlaw))
-	gom.Expect(fxt.desk.Make(context.Background(), ask).Flaw).To(gomega.Equal(talk.InputGone))
+	gom.Expect(fxt.btr.Make(context.Background(), ask).Flaw).To(gomega.Equal(talk.NoFlaw))
+	gom.Expect(fxt.btr.Make(context.Background(), ask).Flaw).To(gomega.Equal(talk.InputGone))
 }
 
 // Guards against a busy pool that refuses requests because a few of its many results were lost.
@@ -177,9 +177,9 @@
 	ask := Order{Pool: "ranks", Request: "r1", Count: 2, Due: 20 * clock.Second, Until: 30 * clock.Second}
 	order := func() talk.Flaw {
 		fxt.errs <- nil
-		fld := fxt.desk.Make(context.Background(), ask)
+		orr := fxt.btr.Make(context.Background(), ask)
 		gom.Expect(fxt.calls).To(gomega.Receive())
-		return fld.Flaw
+		return orr.Flaw
 	}
 	for range 60 {
 		gom.Expect(order()).To(gomega.Equal(talk.NoFlaw))
@@ -191,5 +191,5 @@
 		gom.Expect(order()).To(gomega.Equal(talk.NoFlaw))
 	}
 	fxt.errs <- nil
-	gom.Expect(fxt.desk.Make(context.Background(), ask).Flaw).To(gomega.Equal(talk.InputGone), "recomputation stays bounded")
+	gom.Expect(fxt.btr.Make(context.Background(), ask).Flaw).To(gomega.Equal(talk.InputGone), "recomputation stays bounded")
 }
--- a/internal/batch/storage_test.go
+++ b/internal/batch/storage_test.go
@@ -35,7 +35,7 @@
 			return <-free, nil
 		},
 	}
-	desk := New(Setup{
+	btr := New(Setup{
 		Dialect: dia, Meter: meter.New(), Log: zerolog.Nop(), Reserve: 10, Window: 10 * clock.Second,
 		After: func(span clock.Milli, work func()) {
 			if span == storagePollInterval {
@@ -48,14 +48,14 @@
 	pln, _ := plan.Compile(plan.Draft{Pools: []plan.DraftPool{{
 		Name: "ranks", Batch: &plan.DraftBatch{Places: 1, Most: 9, Call: 9000, Item: 1, Room: 1000, Keep: 4000},
 	}}})
-	desk.Sync(pln, []talk.Endpoint{{ID: "rank-1", Pool: "ranks", Addr: "a:1"}, {ID: "rank-2", Pool: "ranks", Addr: "a:2", Leaving: true}}, nil)
+	btr.Sync(pln, []talk.Endpoint{{ID: "rank-1", Pool: "ranks", Addr: "a:1"}, {ID: "rank-2", Pool: "ranks", Addr: "a:2", Leaving: true}}, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	for range 4 {
-		go desk.Make(ctx, Order{Pool: "ranks", Count: 1, Bytes: 250, Due: clock.Minute, Until: clock.Minute})
+		go btr.Make(ctx, Order{Pool: "ranks", Count: 1, Bytes: 250, Due: clock.Minute, Until: clock.Minute})
 	}
 	begin := <-timers
-	gom.Eventually(func() int { return desk.pool("ranks").numWaiting() }, soon).Should(gomega.Equal(4))
+	gom.Eventually(func() int { return btr.pool("ranks").numWaiting() }, soon).Should(gomega.Equal(4))
 	free <- 500
 	again := <-rounds
 	begin()
--- a/internal/homes/coord.go
+++ b/internal/homes/coord.go
@@ -119,10 +119,10 @@
 		}
 		tried++
 		ord.Due, ord.Until = left()
-		fld, err := crd.sendOrder(ctx, inc, ord)
+		orr, err := crd.sendOrder(ctx, inc, ord)
 		if err == nil {
-			crd.noteWait(ord.Pool, fld.Wait)
-			return fld, inc.Addr()
+			crd.noteWait(ord.Pool, orr.Wait)
+			return orr, inc.Addr()
 		}
 		if ctx.Err() != nil {
 			return batch.Filled{}, inc.Addr()
@@ -130,9 +130,9 @@
 		crd.logLost(inc, ord, err)
 	}
 	ord.Due, ord.Until = left()
-	fld := crd.set.Desk.Make(ctx, ord)
-	crd.noteWait(ord.Pool, fld.Wait)
-	return fld, crd.set.Control.Self().Addr()
+	orr := crd.set.Desk.Make(ctx, ord)
+	crd.noteWait(ord.Pool, orr.Wait)
+	return orr, crd.set.Control.Self().Addr()
 }
 
 // hasJoined reports whether this instance has received the membership or waited joinTimeout for it.
@@ -159,8 +159,8 @@
 	if ans.Kind != peer.OK {
 		return batch.Filled{}, errOrderRefused
 	}
-	var fld batch.Filled
-	return fld, cbor.Unmarshal(ans.Body, &fld)
+	var orr batch.Filled
+	return orr, cbor.Unmarshal(ans.Body, &orr)
 }
 
 func (crd *Homes) isUnresponsive(inc ident.Incarnation) bool {
@@ -192,13 +192,13 @@
 
 // Free releases results through the coordinator that had them computed. If that instance can't be
 // reached, this one sends the release to the endpoints.
-func (crd *Homes) Free(home string, frd batch.Freed) {
+func (crd *Homes) Free(home string, rrq batch.Freed) {
 	if home == "" || home == crd.set.Control.Self().Addr() || crd.set.Link == nil {
-		crd.set.Desk.Free(frd)
+		crd.set.Desk.Free(rrq)
 		return
 	}
 	go func() {
-		body, err := cbor.Marshal(frd)
+		body, err := cbor.Marshal(rrq)
 		if err != nil {
 			return
 		}
@@ -206,7 +206,7 @@
 		defer cancel()
 		msg := peer.Message{Kind: peer.PiecesFreed, From: crd.set.Control.Self(), Body: body}
 		if ans, err := crd.set.Link.Ask(ctx, home, msg); err != nil || ans.Kind != peer.OK {
-			crd.set.Desk.Free(frd)
+			crd.set.Desk.Free(rrq)
 		}
 	}()
 }
@@ -232,10 +232,10 @@
 
 // Freed handles the release of results by another instance; it is registered with the link.
 func (crd *Homes) Freed(msg peer.Message) peer.Message {
-	var frd batch.Freed
-	if cbor.Unmarshal(msg.Body, &frd) != nil {
+	var rrq batch.Freed
+	if cbor.Unmarshal(msg.Body, &rrq) != nil {
 		return peer.Message{Kind: peer.Nack, From: crd.set.Control.Self()}
 	}
-	crd.set.Desk.Free(frd)
+	crd.set.Desk.Free(rrq)
 	return peer.Message{Kind: peer.OK, From: crd.set.Control.Self()}
 }
--- a/internal/homes/coord_test.go
+++ b/internal/homes/coord_test.go
@@ -30,12 +30,12 @@
 		calls <- items
 		return []talk.Made{{Handle: "h"}}, talk.Reply{}, nil
 	}}
-	desk := batch.New(batch.Setup{Dialect: dia, Meter: meter.New(), Log: zerolog.Nop(), Reserve: 10, Window: 10 * clock.Second})
+	btr := batch.New(batch.Setup{Dialect: dia, Meter: meter.New(), Log: zerolog.Nop(), Reserve: 10, Window: 10 * clock.Second})
 	pln, _ := plan.Compile(plan.Draft{Pools: []plan.DraftPool{{Name: "encode", Batch: &plan.DraftBatch{Places: 1, Most: 9, Call: 20}}}})
-	desk.Sync(pln, []talk.Endpoint{{ID: "e1", Pool: "encode", Addr: "a:1"}}, nil)
+	btr.Sync(pln, []talk.Endpoint{{ID: "e1", Pool: "encode", Addr: "a:1"}}, nil)
 	self := ident.NewIncarnation("127.0.0.1:1")
 	crd := New(Setup{
-		Control: state.New(state.Setup{Self: self, Meter: meter.New(), Log: zerolog.Nop()}), Desk: desk, Link: &peer.Link{},
+		Control: state.New(state.Setup{Self: self, Meter: meter.New(), Log: zerolog.Nop()}), Desk: btr, Link: &peer.Link{},
 		Log: zerolog.Nop(), After: func(_ clock.Milli, work func()) { timers <- work },
 	})
 	return crd, timers, calls
@@ -50,10 +50,10 @@
 	crd, timers, calls := starting()
 	ends := make(chan batch.Filled, 1)
 	go func() {
-		fld, _ := crd.Fill(context.Background(), batch.Order{Pool: "encode", Request: "r", Count: 1, Key: "k"}, func() (due, until clock.Milli) {
+		orr, _ := crd.Fill(context.Background(), batch.Order{Pool: "encode", Request: "r", Count: 1, Key: "k"}, func() (due, until clock.Milli) {
 			return 5 * clock.Second, 9 * clock.Second
 		})
-		ends <- fld
+		ends <- orr
 	}()
 	join := <-timers
 	gom.Consistently(calls, 60*time.Millisecond).ShouldNot(gomega.Receive())
@@ -66,8 +66,8 @@
 	crd, _, _ := starting()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	fld, _ := crd.Fill(ctx, batch.Order{Pool: "encode", Count: 1}, nil)
-	gomega.NewWithT(t).Expect(fld.Results).To(gomega.BeEmpty())
+	orr, _ := crd.Fill(ctx, batch.Order{Pool: "encode", Count: 1}, nil)
+	gomega.NewWithT(t).Expect(orr.Results).To(gomega.BeEmpty())
 }
 
 // TestNewCoordinatorQueriesCaches: the instance that placed prompts has died, and this one takes
--- a/internal/homes/places.go
+++ b/internal/homes/places.go
@@ -74,7 +74,7 @@
 	}
 	inc := crd.promptCoordinator(vw, pool)
 	if inc == crd.set.Control.Self() {
-		return crd.pick(pool, ticket, ask, crd.rateShare(vw, pool))
+		return crd.pick(pool, ticket, ask, crd.rateShareIn(vw, pool))
 	}
 	if prp, ok := crd.requestPlace(ctx, inc, placeRequest{Pool: pool, Ticket: ticket, Ask: ask}); ok {
 		if tgt, ok := crd.set.Pools.Take(pool, prp.ID, prp.From, ticket, ask); ok {
@@ -109,7 +109,7 @@
 			}
 		}
 	}
-	seat, ok := crd.set.Pools.Aim(pool, ask, crd.rateShare(vw, pool))
+	seat, ok := crd.set.Pools.Aim(pool, ask, crd.rateShareIn(vw, pool))
 	return seat.Engine, seat.Read, ok
 }
 
--- a/internal/homes/rates.go
+++ b/internal/homes/rates.go
@@ -23,9 +23,9 @@
 // permitRetryDelay is how long no permits are requested from a coordinator that did not answer.
 const permitRetryDelay = 200 * clock.Milli(1)
 
-// rateShare returns the fraction of the declared rates of a pool's endpoints that this instance may
-// use.
-func (crd *Homes) rateShare(vw *state.View, pool string) (share float64) {
+// rateShareIn returns the fraction of the declared rates of a pool's endpoints that this instance
+// may use by a view of the membership.
+func (crd *Homes) rateShareIn(vw *state.View, pool string) (share float64) {
 	if crd.set.Link == nil {
 		return 1
 	}
@@ -56,9 +56,9 @@
 	return before, true
 }
 
-// Keeps returns the fraction of the declared rates of a pool's endpoints that this instance may
-// use, by the membership that it knows.
-func (crd *Homes) Keeps(pool string) float64 { return crd.rateShare(crd.set.Control.View(), pool) }
+// Keeps returns the fraction of the declared rates of a pool's endpoints that this instance may use
+// by the current view.
+func (crd *Homes) Keeps(pool string) float64 { return crd.rateShareIn(crd.set.Control.View(), pool) }
 
 // permit is a coordinator's answer: the endpoint that may be sent a request, or the time until one
 // may.
@@ -105,7 +105,7 @@
 // acquirePermit returns an endpoint with a declared rate that may be sent a request now; empty if
 // there is none.
 func (crd *Homes) acquirePermit(ctx context.Context, vw *state.View, pool string) string {
-	if share := crd.rateShare(vw, pool); share > 0 {
+	if share := crd.rateShareIn(vw, pool); share > 0 {
 		id, _ := crd.set.Pools.Permit(pool, share)
 		return id
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -84,7 +84,7 @@
 	// Working is the keep-alive of a long request: a caller that receives none knows that the
 	// receiver is gone.
 	Working
-	// Unlisted reports that the receiver's membership record is missing from the store.
+	// Unlisted reports that the receiver's instance entry is missing from the store.
 	Unlisted
 	// FactsTold carries facts that the sender has learned.
 	FactsTold
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -23,36 +23,36 @@
 // Next returns the next event with the empty line that ends it. At the end of a stream that was
 // closed properly it returns whatever follows the last event, and then io.EOF. Any other error
 // means that the stream was cut.
-func (evs *Events) Next() ([]byte, error) {
+func (evr *Events) Next() ([]byte, error) {
 	for {
-		if end := eventEnd(evs.buf); end > 0 {
-			event := bytes.Clone(evs.buf[:end])
-			evs.buf = evs.buf[end:]
+		if end := eventEnd(evr.buf); end > 0 {
+			event := bytes.Clone(evr.buf[:end])
+			evr.buf = evr.buf[end:]
 			return event, nil
 		}
-		if evs.err != nil {
-			return evs.rest()
+		if evr.err != nil {
+			return evr.rest()
 		}
-		evs.read()
+		evr.read()
 	}
 }
 
-func (evs *Events) rest() ([]byte, error) {
-	if evs.err == io.EOF && len(evs.buf) > 0 {
-		rest := evs.buf
-		evs.buf = nil
+func (evr *Events) rest() ([]byte, error) {
+	if evr.err == io.EOF && len(evr.buf) > 0 {
+		rest := evr.buf
+		evr.buf = nil
 		return rest, nil
 	}
-	return nil, evs.err
+	return nil, evr.err
 }
 
-func (evs *Events) read() {
+func (evr *Events) read() {
 	var part [16 << 10]byte
-	n, err := evs.rdr.Read(part[:])
-	evs.buf = append(evs.buf, part[:n]...)
-	evs.err = err
-	if len(evs.buf) > maxEventBytes && evs.err == nil {
-		evs.err = io.ErrShortBuffer
+	n, err := evr.rdr.Read(part[:])
+	evr.buf = append(evr.buf, part[:n]...)
+	evr.err = err
+	if len(evr.buf) > maxEventBytes && evr.err == nil {
+		evr.err = io.ErrShortBuffer
 	}
 }
 
--- a/internal/relay/events_test.go
+++ b/internal/relay/events_test.go
@@ -15,13 +15,13 @@
 func TestEventsAreWhole(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	cut := errors.New("reset")
-	evs := NewEvents(io.MultiReader(strings.NewReader("id: 1\n\nid: 2\r\n\r\nid: 3\nda"), iotest.ErrReader(cut)))
+	evr := NewEvents(io.MultiReader(strings.NewReader("id: 1\n\nid: 2\r\n\r\nid: 3\nda"), iotest.ErrReader(cut)))
 	for _, want := range []string{"id: 1\n\n", "id: 2\r\n\r\n"} {
-		event, err := evs.Next()
+		event, err := evr.Next()
 		gom.Expect(err).NotTo(gomega.HaveOccurred())
 		gom.Expect(string(event)).To(gomega.Equal(want))
 	}
-	_, err := evs.Next()
+	_, err := evr.Next()
 	gom.Expect(err).To(gomega.MatchError(cut))
 }
 
@@ -30,10 +30,10 @@
 	f.Add("id: 1\n\nid: 2\r\n\r\nrest")
 	f.Add("\n\n\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		evs := NewEvents(iotest.OneByteReader(strings.NewReader(text)))
+		evr := NewEvents(iotest.OneByteReader(strings.NewReader(text)))
 		var out strings.Builder
 		for {
-			event, err := evs.Next()
+			event, err := evr.Next()
 			if err == io.EOF {
 				break
 			}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -53,10 +53,10 @@
 }
 
 // Kept returns a client that reuses connections, for calls that may be repeated; idle connections
-// are closed after idle. heard is called with each answer; it may be nil.
-func Kept(idle time.Duration, heard Heard) *http.Client {
+// are closed after idle. obs is called with each answer; it may be nil.
+func Kept(idle time.Duration, obs Heard) *http.Client {
 	return &http.Client{
-		Transport: &observedTransport{observe: heard, next: &http.Transport{
+		Transport: &observedTransport{observe: obs, next: &http.Transport{
 			DialContext: Dialer().DialContext, DisableCompression: true,
 			MaxIdleConnsPerHost: maxIdlePerHost, IdleConnTimeout: idle,
 		}},
@@ -73,9 +73,9 @@
 	trn http.RoundTripper
 }
 
-// New returns a relay for a dialect. heard is called with each answer; it may be nil.
-func New(dia *talk.Dialect, heard Heard) *Relay {
-	return &Relay{dia: dia, trn: &observedTransport{observe: heard, next: &http.Transport{
+// New returns a relay for a dialect. obs is called with each answer; it may be nil.
+func New(dia *talk.Dialect, obs Heard) *Relay {
+	return &Relay{dia: dia, trn: &observedTransport{observe: obs, next: &http.Transport{
 		DialContext: dialAllowed(Dialer()), DisableCompression: true,
 		// No connection is reused. DisableKeepAlives would achieve that too, but sends "Connection:
 		// close" to endpoints; they would then answer the same, which could not be told from an
