--- a/internal/homes/coord.go
+++ b/internal/homes/coord.go
@@ -86,7 +86,7 @@
 	placeTimeouts map[ident.Incarnation]int
 }
 
-// New returns Homes that take every instance for responsive.
+// New starts with every instance taken for responsive.
 func New(set Setup) *Homes {
 	if set.After == nil {
 		set.After = func(span clock.Milli, work func()) { time.AfterFunc(span.Duration(), work) }
--- a/internal/homes/coord_test.go
+++ b/internal/homes/coord_test.go
@@ -22,7 +22,7 @@
 	"amaranthvalve/pkg/plan"
 )
 
-// starting returns the Homes of an instance that has just started, its timers, which the test
+// starting returns the [Homes] of an instance that has just started, its timers, which the test
 // fires, and the calls that its batcher makes.
 func starting() (*Homes, chan func(), chan []talk.Item) {
 	calls, timers := make(chan []talk.Item, 9), make(chan func(), 9)
