--- a/internal/batch/coalesce_test.go
+++ b/internal/batch/coalesce_test.go
@@ -24,11 +24,11 @@
 	gom := gomega.NewWithT(t)
 	timers := make(chan func(), 9)
 	fxt := newFixtureWith(20, func(_ clock.Milli, work func()) { timers <- work })
-	ends := make(chan Filled, 3)
+	ends := make(chan OrderResult, 3)
 	for i := range 3 {
 		go func() {
-			ends <- fxt.btr.Make(context.Background(), Order{
-				Pool: "ranks", Request: fmt.Sprint(i), Count: 2, Key: "k", Due: 20 * clock.Second, Until: 30 * clock.Second,
+			ends <- fxt.btr.Fill(context.Background(), Order{
+				Pool: "ranks", Request: fmt.Sprint(i), Count: 2, Key: "k", Due: 20 * clock.Second, Expires: 30 * clock.Second,
 			})
 		}()
 	}
--- a/internal/batch/crash.go
+++ b/internal/batch/crash.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/pkg/gather"
 	"amaranthvalve/pkg/ident"
 )
@@ -22,23 +22,23 @@
 func (pol *pool) crashedDuring(ctx context.Context, bat gather.Batch, err error) bool {
 	var opr *net.OpError
 	dialling := errors.As(err, &opr) && opr.Op == "dial"
-	if err == nil || dialling || errors.Is(err, talk.ErrFull) || ctx.Err() != nil || bat.Maker.Leaving || pol.set.Ended == nil {
+	if err == nil || dialling || errors.Is(err, proto.ErrFull) || ctx.Err() != nil || bat.Endpoint.Leaving || pol.set.ProcessEnded == nil {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, crashCheckTimeout)
 	defer cancel()
-	return pol.set.Ended(ctx, bat.Maker.Addr)
+	return pol.set.ProcessEnded(ctx, bat.Endpoint.Addr)
 }
 
 // recordCrash records the crash of a call's endpoint on each order that had items in the call.
 // Retried items of these orders run in batches of their own: in a shared batch all of them would be
 // suspected of the next crash as well.
 func (pol *pool) recordCrash(bat gather.Batch) {
-	id := ident.Process(bat.Maker.ID)
-	for _, pc := range bat.Pieces {
+	id := ident.Process(bat.Endpoint.ID)
+	for _, pc := range bat.Items {
 		if ref, ok := pol.refs[pc.ID]; ok && !slices.Contains(ref.ord.crashes, id) {
 			ref.ord.crashes = append(ref.ord.crashes, id)
 		}
 	}
-	pol.set.Log.Info().Str("pool", pol.name).Str("endpoint", bat.Maker.ID).Int("pieces", len(bat.Pieces)).Msg("endpoint crashed during a call")
+	pol.set.Log.Info().Str("pool", pol.name).Str("endpoint", bat.Endpoint.ID).Int("pieces", len(bat.Items)).Msg("endpoint crashed during a call")
 }
--- a/internal/batch/crash_test.go
+++ b/internal/batch/crash_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/onsi/gomega"
 
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/ident"
 )
@@ -20,12 +20,12 @@
 func TestItemsRunAloneAfterCrash(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	fxt := newFixture(20)
-	fxt.btr.pool("ranks").set.Ended = func(context.Context, string) bool { return true }
-	ends := make(chan Filled, 3)
+	fxt.btr.pool("ranks").set.ProcessEnded = func(context.Context, string) bool { return true }
+	ends := make(chan OrderResult, 3)
 	for i := range 3 {
 		go func() {
-			ends <- fxt.btr.Make(context.Background(), Order{
-				Pool: "ranks", Request: fmt.Sprint(i), Count: 1, Key: "k", Due: 20 * clock.Second, Until: 30 * clock.Second,
+			ends <- fxt.btr.Fill(context.Background(), Order{
+				Pool: "ranks", Request: fmt.Sprint(i), Count: 1, Key: "k", Due: 20 * clock.Second, Expires: 30 * clock.Second,
 			})
 		}()
 	}
@@ -36,31 +36,31 @@
 		fxt.errs <- nil
 	}
 	for range 3 {
-		var orr Filled
+		var orr OrderResult
 		gom.Eventually(ends, soon).Should(gomega.Receive(&orr))
-		gom.Expect(orr.Ended).To(gomega.Equal([]ident.Process{"rank-1"}))
+		gom.Expect(orr.Crashed).To(gomega.Equal([]ident.Process{"rank-1"}))
 	}
 }
 
 // Guards against counting a crash against a request when the endpoint only cut a connection, or had
 // ended before the call.
 func TestCutConnectionIsNoCrash(t *testing.T) {
-	refused := talk.Error.Wrap(&net.OpError{Op: "dial", Err: syscall.ECONNREFUSED})
+	refused := proto.Error.Wrap(&net.OpError{Op: "dial", Err: syscall.ECONNREFUSED})
 	for _, tst := range []struct {
 		err   error
 		ended bool
 	}{{errors.New("connection reset"), false}, {refused, true}} {
 		gom := gomega.NewWithT(t)
 		fxt := newFixture(20)
-		fxt.btr.pool("ranks").set.Ended = func(context.Context, string) bool { return tst.ended }
+		fxt.btr.pool("ranks").set.ProcessEnded = func(context.Context, string) bool { return tst.ended }
 		out := fxt.order()
 		for _, err := range []error{tst.err, nil} {
 			gom.Eventually(fxt.calls, soon).Should(gomega.Receive())
 			fxt.errs <- err
 		}
-		var orr Filled
+		var orr OrderResult
 		gom.Eventually(out, soon).Should(gomega.Receive(&orr))
 		gom.Expect(orr.Results).To(gomega.HaveLen(2))
-		gom.Expect(orr.Ended).To(gomega.BeEmpty())
+		gom.Expect(orr.Crashed).To(gomega.BeEmpty())
 	}
 }
--- a/internal/batch/fetch.go
+++ b/internal/batch/fetch.go
@@ -56,7 +56,7 @@
 	pol.mtx.Lock()
 	defer pol.mtx.Unlock()
 	var bytes int64
-	for _, pc := range bat.Pieces {
+	for _, pc := range bat.Items {
 		if ref, ok := pol.refs[pc.ID]; ok {
 			bytes += ref.ord.InputBytes
 		}
@@ -76,17 +76,17 @@
 	if pol.set.Clock.Now() < pol.holdInputsUntil {
 		return
 	}
-	for _, pc := range bat.Pieces {
+	for _, pc := range bat.Items {
 		ref, ok := pol.refs[pc.ID]
 		if !ok || ref.ord.completed {
 			continue
 		}
 		ord := ref.ord
 		ord.fetch.set(ref.index, ord.Count, true)
-		if ord.fetch.numDone == ord.Count && !ord.fetch.released && len(ord.Last) > 0 {
+		if ord.fetch.numDone == ord.Count && !ord.fetch.released && len(ord.LastInputs) > 0 {
 			ord.fetch.released = true
 			// In a goroutine, because the inputs may be results of this pool, whose lock is held.
-			go pol.set.Fetched(ord.Last)
+			go pol.set.OnInputsFetched(ord.LastInputs)
 		}
 	}
 }
--- a/internal/batch/fetch_test.go
+++ b/internal/batch/fetch_test.go
@@ -12,65 +12,65 @@
 	"github.com/rs/zerolog"
 
 	"amaranthvalve/internal/meter"
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/plan"
 )
 
 // fixture is a batcher with one pool of one endpoint whose answers are scripted.
 type fixture struct {
-	btr *Desk
+	btr *Batcher
 	// calls receives the calls that the endpoint gets, errs supplies their errors, and flaw is the
 	// flaw reported for each item.
-	calls chan []talk.Item
+	calls chan []proto.Item
 	errs  chan error
 	flaw  atomic.Int64
 	// released receives the lots that are released.
-	released chan Lot
+	released chan ResultSet
 }
 
 func newFixture(most int) *fixture { return newFixtureWith(most, nil) }
 
 // newFixtureWith uses the given timers.
 func newFixtureWith(most int, after func(clock.Milli, func())) *fixture {
-	fxt := &fixture{calls: make(chan []talk.Item, 9), errs: make(chan error, 9), released: make(chan Lot, 9)}
-	dia := &talk.Dialect{
-		Run: func(_ context.Context, _ *http.Client, _ talk.Endpoint, items []talk.Item) ([]talk.Made, talk.Reply, error) {
+	fxt := &fixture{calls: make(chan []proto.Item, 9), errs: make(chan error, 9), released: make(chan ResultSet, 9)}
+	dia := &proto.Dialect{
+		RunBatch: func(_ context.Context, _ *http.Client, _ proto.Endpoint, items []proto.Item) ([]proto.ItemResult, proto.ReplyMeta, error) {
 			fxt.calls <- items
 			err := <-fxt.errs
-			made := make([]talk.Made, len(items))
+			made := make([]proto.ItemResult, len(items))
 			for i := range made {
-				if made[i].Flaw = talk.Flaw(fxt.flaw.Load()); made[i].Flaw == talk.NoFlaw {
+				if made[i].Failure = proto.Failure(fxt.flaw.Load()); made[i].Failure == proto.NoFailure {
 					made[i].Handle = items[i].Request
 				}
 			}
-			return made, talk.Reply{}, err
+			return made, proto.ReplyMeta{}, err
 		},
 		Free: func(context.Context, *http.Client, string, []string) error { return nil },
 	}
 	fxt.btr = New(Setup{
 		Dialect: dia, After: after, Meter: meter.New(), Log: zerolog.Nop(), Share: 0.1, Reserve: 10, Window: 10 * clock.Second,
-		Fetched: func(lots []Lot) {
+		OnInputsFetched: func(lots []ResultSet) {
 			for _, lot := range lots {
 				fxt.released <- lot
 			}
 		},
 	})
 	pln, _ := plan.Compile(plan.Draft{Pools: []plan.DraftPool{{
-		Name: "ranks", Batch: &plan.DraftBatch{Places: 1, Most: most, Call: 1000, Item: 1, Link: 1000},
+		Name: "ranks", Batch: &plan.DraftBatch{Slots: 1, MaxItems: most, Call: 1000, Item: 1, Link: 1000},
 	}}})
-	fxt.btr.Sync(pln, []talk.Endpoint{{ID: "rank-1", Pool: "ranks", Addr: "a:1"}}, nil)
+	fxt.btr.Sync(pln, []proto.Endpoint{{ID: "rank-1", Pool: "ranks", Addr: "a:1"}}, nil)
 	return fxt
 }
 
 // order places an order of two items that share one lot of inputs.
-func (fxt *fixture) order() chan Filled {
-	out := make(chan Filled, 1)
-	lot := Lot{Home: "here:1", Freed: Freed{Pool: "notes", Results: []Handle{{Name: "note-1"}}}}
+func (fxt *fixture) order() chan OrderResult {
+	out := make(chan OrderResult, 1)
+	lot := ResultSet{Coordinator: "here:1", Release: ReleaseRequest{Pool: "notes", Results: []Handle{{Name: "note-1"}}}}
 	go func() {
-		out <- fxt.btr.Make(context.Background(), Order{
+		out <- fxt.btr.Fill(context.Background(), Order{
 			Pool: "ranks", Request: "r1", Stage: 1, Count: 2, Inputs: []string{"note-1"}, InputBytes: 1000,
-			Last: []Lot{lot}, Due: 20 * clock.Second, Until: 30 * clock.Second,
+			LastInputs: []ResultSet{lot}, Due: 20 * clock.Second, Expires: 30 * clock.Second,
 		})
 	}()
 	return out
@@ -86,12 +86,12 @@
 	fxt := newFixture(2)
 	filled := fxt.order()
 	gom.Eventually(fxt.calls, soon).Should(gomega.Receive(gomega.HaveLen(2)))
-	gom.Eventually(fxt.released, soon).Should(gomega.Receive(gomega.HaveField("Home", "here:1")))
+	gom.Eventually(fxt.released, soon).Should(gomega.Receive(gomega.HaveField("Coordinator", "here:1")))
 	gom.Expect(filled).To(gomega.BeEmpty(), "the call has not ended")
 	fxt.errs <- nil
-	var orr Filled
+	var orr OrderResult
 	gom.Eventually(filled, soon).Should(gomega.Receive(&orr))
-	gom.Expect(orr.Fetched).To(gomega.BeTrue())
+	gom.Expect(orr.InputsReleased).To(gomega.BeTrue())
 	gom.Expect(orr.Results).To(gomega.HaveLen(2))
 }
 
@@ -107,7 +107,7 @@
 	gom.Eventually(fxt.calls, soon).Should(gomega.Receive())
 	gom.Eventually(fxt.released, soon).Should(gomega.Receive())
 	fxt.errs <- nil
-	gom.Eventually(filled, soon).Should(gomega.Receive(gomega.HaveField("Flaw", talk.NoFlaw)))
+	gom.Eventually(filled, soon).Should(gomega.Receive(gomega.HaveField("Failure", proto.NoFailure)))
 }
 
 // TestFailureAfterFetchIsNotRetried checks that a call which fails after its inputs were released
@@ -120,7 +120,7 @@
 	gom.Eventually(fxt.released, soon).Should(gomega.Receive())
 	fxt.errs <- errors.New("the endpoint died")
 	gom.Eventually(filled, soon).Should(gomega.Receive(gomega.And(
-		gomega.HaveField("Flaw", talk.InputGone), gomega.HaveField("Fetched", true))))
+		gomega.HaveField("Failure", proto.InputLost), gomega.HaveField("InputsReleased", true))))
 	gom.Expect(fxt.calls).To(gomega.HaveLen(1))
 }
 
@@ -131,17 +131,17 @@
 func TestInputsAreHeldWhileCoordinatorsOverlap(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	fxt := newFixture(2)
-	fxt.flaw.Store(int64(talk.InputGone))
+	fxt.flaw.Store(int64(proto.InputLost))
 	filled := fxt.order()
 	gom.Eventually(fxt.released, soon).Should(gomega.Receive())
 	fxt.errs <- nil
-	gom.Eventually(filled, soon).Should(gomega.Receive(gomega.HaveField("Flaw", talk.InputGone)))
+	gom.Eventually(filled, soon).Should(gomega.Receive(gomega.HaveField("Failure", proto.InputLost)))
 
-	fxt.flaw.Store(int64(talk.NoFlaw))
+	fxt.flaw.Store(int64(proto.NoFailure))
 	filled = fxt.order()
 	gom.Consistently(fxt.released, 4*minFetchTime.Duration()).ShouldNot(gomega.Receive())
 	fxt.errs <- nil
-	gom.Eventually(filled, soon).Should(gomega.Receive(gomega.HaveField("Fetched", false)))
+	gom.Eventually(filled, soon).Should(gomega.Receive(gomega.HaveField("InputsReleased", false)))
 }
 
 // TestFailureBeforeFetchIsRetried checks that the items of a call which fails while its inputs are
@@ -154,7 +154,7 @@
 	gom.Eventually(fxt.calls, soon).Should(gomega.Receive())
 	gom.Eventually(fxt.calls, soon).Should(gomega.Receive())
 	fxt.errs <- nil
-	gom.Eventually(filled, soon).Should(gomega.Receive(gomega.HaveField("Flaw", talk.NoFlaw)))
+	gom.Eventually(filled, soon).Should(gomega.Receive(gomega.HaveField("Failure", proto.NoFailure)))
 }
 
 // TestRecomputationIsBounded checks that items whose results were lost are recomputed only within
@@ -162,34 +162,34 @@
 func TestRecomputationIsBounded(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	fxt := newFixture(2)
-	ask := Order{Pool: "ranks", Request: "r1", Count: 3, Again: true, Due: 20 * clock.Second, Until: 30 * clock.Second}
+	ask := Order{Pool: "ranks", Request: "r1", Count: 3, Recompute: true, Due: 20 * clock.Second, Expires: 30 * clock.Second}
 	for range 4 {
 		fxt.errs <- nil
 	}
-	gom.Expect(fxt.btr.Make(context.Background(), ask).Flaw).To(gomega.Equal(talk.NoFlaw))
-	gom.Expect(fxt.btr.Make(context.Background(), ask).Flaw).To(gomega.Equal(talk.InputGone))
+	gom.Expect(fxt.btr.Fill(context.Background(), ask).Failure).To(gomega.Equal(proto.NoFailure))
+	gom.Expect(fxt.btr.Fill(context.Background(), ask).Failure).To(gomega.Equal(proto.InputLost))
 }
 
 // Guards against a busy pool that refuses requests because a few of its many results were lost.
 func TestRecomputationBudgetGrowsWithOrders(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	fxt := newFixture(2)
-	ask := Order{Pool: "ranks", Request: "r1", Count: 2, Due: 20 * clock.Second, Until: 30 * clock.Second}
-	order := func() talk.Flaw {
+	ask := Order{Pool: "ranks", Request: "r1", Count: 2, Due: 20 * clock.Second, Expires: 30 * clock.Second}
+	order := func() proto.Failure {
 		fxt.errs <- nil
-		orr := fxt.btr.Make(context.Background(), ask)
+		orr := fxt.btr.Fill(context.Background(), ask)
 		gom.Expect(fxt.calls).To(gomega.Receive())
-		return orr.Flaw
+		return orr.Failure
 	}
 	for range 60 {
-		gom.Expect(order()).To(gomega.Equal(talk.NoFlaw))
+		gom.Expect(order()).To(gomega.Equal(proto.NoFailure))
 	}
 	// Two recomputations out of the share, and two out of the part of the reserve that may be used
 	// in one burst.
-	ask.Again = true
+	ask.Recompute = true
 	for range 4 {
-		gom.Expect(order()).To(gomega.Equal(talk.NoFlaw))
+		gom.Expect(order()).To(gomega.Equal(proto.NoFailure))
 	}
 	fxt.errs <- nil
-	gom.Expect(fxt.btr.Make(context.Background(), ask).Flaw).To(gomega.Equal(talk.InputGone), "recomputation stays bounded")
+	gom.Expect(fxt.btr.Fill(context.Background(), ask).Failure).To(gomega.Equal(proto.InputLost), "recomputation stays bounded")
 }
--- a/internal/batch/order.go
+++ b/internal/batch/order.go
@@ -1,7 +1,7 @@
 package batch
 
 import (
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/ident"
 )
@@ -21,40 +21,40 @@
 	Rank  int    `cbor:"9,keyasint,omitempty"`
 	// Due is the span within which the items should be done, Until the span after which their
 	// results are useless.
-	Due   clock.Milli `cbor:"10,keyasint"`
-	Until clock.Milli `cbor:"11,keyasint"`
-	// NearUntil is how long the items wait for an endpoint in their data centre.
-	NearUntil clock.Milli `cbor:"12,keyasint,omitempty"`
+	Due     clock.Milli `cbor:"10,keyasint"`
+	Expires clock.Milli `cbor:"11,keyasint"`
+	// LocalUntil is how long the items wait for an endpoint in their data centre.
+	LocalUntil clock.Milli `cbor:"12,keyasint,omitempty"`
 	// InputBytes is the total size of the inputs of one item.
 	InputBytes int64 `cbor:"13,keyasint,omitempty"`
-	// Last lists the inputs that no other order uses: they are released as soon as all items have
+	// LastInputs lists the inputs that no other order uses: they are released as soon as all items have
 	// fetched them.
-	Last []Lot `cbor:"14,keyasint,omitempty"`
-	// Again is set when the results existed before and were lost.
-	Again bool `cbor:"15,keyasint,omitempty"`
-	// Alone keeps the items out of batches shared with other requests, because endpoints have
+	LastInputs []ResultSet `cbor:"14,keyasint,omitempty"`
+	// Recompute is set when the results existed before and were lost.
+	Recompute bool `cbor:"15,keyasint,omitempty"`
+	// Exclusive keeps the items out of batches shared with other requests, because endpoints have
 	// crashed under this request.
-	Alone bool `cbor:"16,keyasint,omitempty"`
+	Exclusive bool `cbor:"16,keyasint,omitempty"`
 }
 
-// Lot is a set of results of one pool, with the address of the instance that coordinated their
+// ResultSet is a set of results of one pool, with the address of the instance that coordinated their
 // computation.
-type Lot struct {
-	Home  string `cbor:"1,keyasint"`
-	Freed Freed  `cbor:"2,keyasint"`
+type ResultSet struct {
+	Coordinator string         `cbor:"1,keyasint"`
+	Release     ReleaseRequest `cbor:"2,keyasint"`
 }
 
-// Filled is the outcome of an order.
-type Filled struct {
+// OrderResult is the outcome of an order.
+type OrderResult struct {
 	// Results has one handle per item, unless Flaw gives the reason for a failure.
-	Results []Handle  `cbor:"1,keyasint,omitempty"`
-	Flaw    talk.Flaw `cbor:"2,keyasint,omitempty"`
+	Results []Handle      `cbor:"1,keyasint,omitempty"`
+	Failure proto.Failure `cbor:"2,keyasint,omitempty"`
 	// Wait is how long an item added now would wait at this instance.
 	Wait clock.Milli `cbor:"3,keyasint,omitempty"`
-	// Fetched is set when the inputs in the order's Last have been released.
-	Fetched bool `cbor:"4,keyasint,omitempty"`
-	// Ended lists the endpoints that crashed while they had items of the order.
-	Ended []ident.Process `cbor:"5,keyasint,omitempty"`
+	// InputsReleased is set when the inputs in the order's Last have been released.
+	InputsReleased bool `cbor:"4,keyasint,omitempty"`
+	// Crashed lists the endpoints that crashed while they had items of the order.
+	Crashed []ident.Process `cbor:"5,keyasint,omitempty"`
 }
 
 // Handle is the name and location of a result.
@@ -64,8 +64,8 @@
 	Zone string `cbor:"3,keyasint,omitempty"`
 }
 
-// Freed requests that results of a pool be released.
-type Freed struct {
+// ReleaseRequest requests that results of a pool be released.
+type ReleaseRequest struct {
 	Pool    string   `cbor:"1,keyasint"`
 	Results []Handle `cbor:"2,keyasint"`
 }
@@ -80,13 +80,13 @@
 	tries     []int
 	fetch     fetchState
 	crashes   []ident.Process
-	flaw      talk.Flaw
+	flaw      proto.Failure
 	completed bool
 	done      chan struct{}
 }
 
-// complete ends an order, with [talk.NoFlaw] if it succeeded.
-func (ord *order) complete(flaw talk.Flaw) {
+// complete ends an order, with [proto.NoFailure] if it succeeded.
+func (ord *order) complete(flaw proto.Failure) {
 	if !ord.completed {
 		ord.completed, ord.flaw = true, flaw
 		close(ord.done)
--- a/internal/batch/pool.go
+++ b/internal/batch/pool.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/gather"
 	"amaranthvalve/pkg/ident"
@@ -43,7 +43,7 @@
 	name string
 
 	mtx   sync.Mutex
-	sched gather.Book
+	sched gather.Scheduler
 	rates limit.Rates
 	refs  map[int64]itemRef
 	next  int64
@@ -60,7 +60,7 @@
 	// lastOrder is when the last order arrived; endpoints, resultStorage and resultTTL come from
 	// the service documents and the list of endpoints.
 	lastOrder     clock.Milli
-	endpoints     []gather.Maker
+	endpoints     []gather.Endpoint
 	resultStorage int64
 	resultTTL     clock.Milli
 }
@@ -69,12 +69,12 @@
 	return &pool{set: set, name: name, refs: map[int64]itemRef{}, pendingReleases: map[string][]string{}, budget: newBudget(set)}
 }
 
-func (pol *pool) sync(spc plan.DraftBatch, makers []gather.Maker, rates map[string]float64) {
+func (pol *pool) sync(spc plan.DraftBatch, makers []gather.Endpoint, rates map[string]float64) {
 	pol.mtx.Lock()
 	defer pol.mtx.Unlock()
 	pol.rates.Sync(rates)
-	pol.sched.Set(gather.Spec{Places: spc.Places, Most: spc.Most, Call: spc.Call, Item: spc.Item, Room: spc.Room, Keep: spc.Keep})
-	pol.linkMbps, pol.resultStorage, pol.resultTTL, pol.endpoints = spc.Link, spc.Room, spc.Keep, makers
+	pol.sched.Set(gather.Spec{Slots: spc.Slots, MaxItems: spc.MaxItems, BatchMs: spc.Call, ItemMs: spc.Item, Capacity: spc.ResultBytes, TTL: spc.ResultTTL})
+	pol.linkMbps, pol.resultStorage, pol.resultTTL, pol.endpoints = spc.Link, spc.ResultBytes, spc.ResultTTL, makers
 	pol.sched.Sync(makers)
 	for _, mkr := range makers {
 		pol.inFlight.Listed(ident.Process(mkr.ID))
@@ -89,20 +89,20 @@
 }
 
 // fill adds an order's items to the scheduler and waits for them.
-func (pol *pool) fill(ctx context.Context, ask Order) Filled {
+func (pol *pool) fill(ctx context.Context, ask Order) OrderResult {
 	ord := &order{Order: ask, results: make([]Handle, ask.Count), pending: ask.Count, tries: make([]int, ask.Count), done: make(chan struct{})}
 	pol.mtx.Lock()
 	now := pol.set.Clock.Now()
-	if !ask.Again {
+	if !ask.Recompute {
 		pol.budget.earn(ask.Count)
 	} else if !pol.budget.allowRecompute(ask.Count) {
 		defer pol.mtx.Unlock()
 		pol.set.Log.Info().Str("request", ask.Request).Int("stage", ask.Stage).Str("pool", ask.Pool).Int("pieces", ask.Count).
 			Msg("retry budget exhausted, lost inputs are not recomputed")
-		return Filled{Flaw: talk.InputGone, Wait: pol.sched.Wait(now)}
+		return OrderResult{Failure: proto.InputLost, Wait: pol.sched.Wait(now)}
 	}
 	// From here on the spans are instants of the local clock.
-	ord.Due, ord.Until, ord.NearUntil = now+ask.Due, now+ask.Until, now+ask.NearUntil
+	ord.Due, ord.Expires, ord.LocalUntil = now+ask.Due, now+ask.Expires, now+ask.LocalUntil
 	pol.next++
 	ord.job = pol.next
 	for i := range ask.Count {
@@ -124,10 +124,10 @@
 }
 
 // finish completes an order and returns its outcome. The results of a failed order are released.
-func (pol *pool) finish(ord *order) Filled {
-	ord.complete(talk.Late)
-	out := Filled{Flaw: ord.flaw, Wait: pol.sched.Wait(pol.set.Clock.Now()), Fetched: ord.fetch.released, Ended: ord.crashes}
-	if ord.flaw == talk.NoFlaw {
+func (pol *pool) finish(ord *order) OrderResult {
+	ord.complete(proto.Late)
+	out := OrderResult{Failure: ord.flaw, Wait: pol.sched.Wait(pol.set.Clock.Now()), InputsReleased: ord.fetch.released, Crashed: ord.crashes}
+	if ord.flaw == proto.NoFailure {
 		out.Results = ord.results
 		return out
 	}
@@ -155,9 +155,9 @@
 func (pol *pool) add(ord *order, index int, rest bool) {
 	pol.next++
 	pol.refs[pol.next] = itemRef{ord: ord, index: index}
-	pol.sched.Add(gather.Piece{
-		ID: pol.next, Job: ord.job, Due: ord.Due, Until: ord.Until, Rank: ord.Rank, Zone: ord.Zone, NearUntil: ord.NearUntil, Bytes: ord.Bytes, Rest: rest,
-		Alone: ord.Alone || len(ord.crashes) > 0,
+	pol.sched.Add(gather.Item{
+		ID: pol.next, Job: ord.job, Due: ord.Due, Expires: ord.Expires, Priority: ord.Rank, Zone: ord.Zone, LocalUntil: ord.LocalUntil, Bytes: ord.Bytes, Begun: rest,
+		Exclusive: ord.Exclusive || len(ord.crashes) > 0,
 	})
 }
 
@@ -170,19 +170,19 @@
 		if !ok {
 			break
 		}
-		pol.rates.Take(bat.Maker.ID, share, now)
-		pol.sched.Hold(bat.Maker.ID, now+pol.rates.Wait(bat.Maker.ID, now))
+		pol.rates.Take(bat.Endpoint.ID, share, now)
+		pol.sched.Pause(bat.Endpoint.ID, now+pol.rates.Wait(bat.Endpoint.ID, now))
 		go pol.call(bat)
 	}
 	// Only after the calls: an item that still got a slot has not expired.
-	for _, pc := range pol.sched.Expired(now) {
-		pol.failItem(pc.ID, talk.Late)
+	for _, pc := range pol.sched.TakeExpired(now) {
+		pol.failItem(pc.ID, proto.Late)
 	}
 	if pol.sched.Waiting() == 0 {
 		return
 	}
 	span := pollInterval
-	if space := pol.sched.Space(now); space > 0 {
+	if space := pol.sched.StartDelay(now); space > 0 {
 		span = min(span, space)
 	}
 	pol.dispatchWithin(span, now)
@@ -202,7 +202,7 @@
 }
 
 // failItem fails the order of an item that can't be made.
-func (pol *pool) failItem(id int64, flaw talk.Flaw) {
+func (pol *pool) failItem(id int64, flaw proto.Failure) {
 	ref, ok := pol.refs[id]
 	if !ok {
 		return
@@ -214,17 +214,17 @@
 // call makes one call and handles its response.
 func (pol *pool) call(bat gather.Batch) {
 	items := pol.requestItems(bat)
-	ctx, cancel := context.WithTimeout(context.Background(), bat.GiveUp.Duration())
+	ctx, cancel := context.WithTimeout(context.Background(), bat.Timeout.Duration())
 	defer cancel()
-	defer pol.inFlight.Watch(ident.Process(bat.Maker.ID), cancel)()
-	ep := talk.Endpoint{ID: ident.Process(bat.Maker.ID), Pool: pol.name, Addr: bat.Maker.Addr, Zone: bat.Maker.Zone}
+	defer pol.inFlight.Watch(ident.Process(bat.Endpoint.ID), cancel)()
+	ep := proto.Endpoint{ID: ident.Process(bat.Endpoint.ID), Pool: pol.name, Addr: bat.Endpoint.Addr, Zone: bat.Endpoint.Zone}
 	fetch := time.AfterFunc(pol.fetchTime(bat), func() { pol.inputsFetched(bat) })
 	defer fetch.Stop()
 	began := pol.set.Clock.Now()
-	made, rep, err := pol.set.Dialect.Run(ctx, pol.set.Client, ep, items)
+	made, rep, err := pol.set.Dialect.RunBatch(ctx, pol.set.Client, ep, items)
 	took := pol.set.Clock.Since(began)
 	if rep.Misdirected {
-		pol.set.Gone(ep.ID, "another endpoint answers at its address")
+		pol.set.OnMisdirected(ep.ID, "another endpoint answers at its address")
 	}
 	crashed := pol.crashedDuring(ctx, bat, err)
 	pol.mtx.Lock()
@@ -237,15 +237,15 @@
 	pol.dispatch()
 }
 
-func (pol *pool) requestItems(bat gather.Batch) []talk.Item {
+func (pol *pool) requestItems(bat gather.Batch) []proto.Item {
 	pol.mtx.Lock()
 	defer pol.mtx.Unlock()
 	now := pol.set.Clock.Now()
-	items := make([]talk.Item, len(bat.Pieces))
-	for i, pc := range bat.Pieces {
+	items := make([]proto.Item, len(bat.Items))
+	for i, pc := range bat.Items {
 		ref := pol.refs[pc.ID]
-		items[i] = talk.Item{
-			Request: ref.ord.Request, Stage: ref.ord.Stage, Piece: ref.index, Left: max(pc.Until-now, 1),
+		items[i] = proto.Item{
+			Request: ref.ord.Request, Stage: ref.ord.Stage, Index: ref.index, Left: max(pc.Expires-now, 1),
 			Key: ref.ord.Key, Inputs: ref.ord.Inputs,
 		}
 	}
@@ -253,29 +253,29 @@
 }
 
 // handleResponse records the outcome of each item of a call.
-func (pol *pool) handleResponse(bat gather.Batch, made []talk.Made, err error) {
+func (pol *pool) handleResponse(bat gather.Batch, made []proto.ItemResult, err error) {
 	var stored []gather.Result
-	for i, pc := range bat.Pieces {
-		out := talk.Made{Flaw: talk.Broken}
+	for i, pc := range bat.Items {
+		out := proto.ItemResult{Failure: proto.Broken}
 		switch {
 		case err == nil:
 			out = made[i]
-		case errors.Is(err, talk.ErrFull):
-			out.Flaw = talk.NoRoom
+		case errors.Is(err, proto.ErrFull):
+			out.Failure = proto.NoRoom
 		}
 		if out.Handle != "" {
 			stored = append(stored, gather.Result{Handle: out.Handle, Bytes: pc.Bytes})
 		}
 	}
 	pol.sched.Ended(bat.ID, verdict(err), stored, pol.set.Clock.Now())
-	for i, pc := range bat.Pieces {
+	for i, pc := range bat.Items {
 		switch {
 		case err == nil:
-			pol.handleItem(pc.ID, made[i], bat.Maker)
-		case errors.Is(err, talk.ErrFull):
-			pol.retryItem(pc.ID, talk.NoRoom)
+			pol.handleItem(pc.ID, made[i], bat.Endpoint)
+		case errors.Is(err, proto.ErrFull):
+			pol.retryItem(pc.ID, proto.NoRoom)
 		default:
-			pol.retryItem(pc.ID, talk.Broken)
+			pol.retryItem(pc.ID, proto.Broken)
 		}
 	}
 }
@@ -283,30 +283,30 @@
 func verdict(err error) gather.Verdict {
 	switch {
 	case err == nil:
-		return gather.Made
-	case errors.Is(err, talk.ErrFull):
-		return gather.Full
+		return gather.Answered
+	case errors.Is(err, proto.ErrFull):
+		return gather.Busy
 	}
 	return gather.Failed
 }
 
-func (pol *pool) handleItem(id int64, made talk.Made, mkr gather.Maker) {
+func (pol *pool) handleItem(id int64, made proto.ItemResult, mkr gather.Endpoint) {
 	ref, ok := pol.refs[id]
 	if !ok {
 		return
 	}
 	res := Handle{Name: made.Handle, Addr: mkr.Addr, Zone: mkr.Zone}
 	switch {
-	case made.Flaw == talk.NoRoom:
-		pol.sched.Full(mkr.ID, pol.set.Clock.Now())
-		pol.retryItem(id, made.Flaw)
-	case made.Flaw == talk.Broken:
-		pol.retryItem(id, made.Flaw)
-	case made.Flaw == talk.InputGone && ref.ord.fetch.released:
+	case made.Failure == proto.NoRoom:
+		pol.sched.MarkFull(mkr.ID, pol.set.Clock.Now())
+		pol.retryItem(id, made.Failure)
+	case made.Failure == proto.Broken:
+		pol.retryItem(id, made.Failure)
+	case made.Failure == proto.InputLost && ref.ord.fetch.released:
 		pol.holdInputsUntil = pol.set.Clock.Now() + inputHoldTime
-		pol.failItem(id, made.Flaw)
-	case made.Flaw != talk.NoFlaw:
-		pol.failItem(id, made.Flaw)
+		pol.failItem(id, made.Failure)
+	case made.Failure != proto.NoFailure:
+		pol.failItem(id, made.Failure)
 	case ref.ord.completed:
 		// The caller has left, and nobody else has the handle.
 		delete(pol.refs, id)
@@ -315,13 +315,13 @@
 		delete(pol.refs, id)
 		ref.ord.results[ref.index] = res
 		if ref.ord.pending--; ref.ord.pending == 0 {
-			ref.ord.complete(talk.NoFlaw)
+			ref.ord.complete(proto.NoFailure)
 		}
 	}
 }
 
 // retryItem puts a failed item back into the scheduler, within the retry budget and maxTries.
-func (pol *pool) retryItem(id int64, flaw talk.Flaw) {
+func (pol *pool) retryItem(id int64, flaw proto.Failure) {
 	ref, ok := pol.refs[id]
 	if !ok {
 		return
@@ -334,7 +334,7 @@
 	ref.ord.tries[ref.index]++
 	switch {
 	case ref.ord.fetch.released:
-		ref.ord.complete(talk.InputGone)
+		ref.ord.complete(proto.InputLost)
 		return
 	case ref.ord.tries[ref.index] >= maxTries || !pol.budget.allowRetry():
 		ref.ord.complete(flaw)
@@ -345,13 +345,13 @@
 }
 
 // logCall logs a call, at a higher level if it failed wholly or in part.
-func (pol *pool) logCall(bat gather.Batch, made []talk.Made, took clock.Milli, err error) {
+func (pol *pool) logCall(bat gather.Batch, made []proto.ItemResult, took clock.Milli, err error) {
 	flawed, room := 0, 0
 	for _, mad := range made {
-		if mad.Flaw != talk.NoFlaw {
+		if mad.Failure != proto.NoFailure {
 			flawed++
 		}
-		if mad.Flaw == talk.NoRoom {
+		if mad.Failure == proto.NoRoom {
 			room++
 		}
 	}
@@ -362,9 +362,9 @@
 	case flawed > 0:
 		evt = pol.set.Log.Info()
 	}
-	evt.Str("pool", pol.name).Str("endpoint", bat.Maker.ID).Int("pieces", len(bat.Pieces)).Int("flawed", flawed).Int("no_room", room).
-		Int64("held_bytes", pol.sched.Held(bat.Maker.ID)).Int("waiting", pol.sched.Waiting()).
-		Int64("took_ms", int64(took)).Int64("give_up_ms", int64(bat.GiveUp)).Msg("batch call ended")
+	evt.Str("pool", pol.name).Str("endpoint", bat.Endpoint.ID).Int("pieces", len(bat.Items)).Int("flawed", flawed).Int("no_room", room).
+		Int64("held_bytes", pol.sched.HeldBytes(bat.Endpoint.ID)).Int("waiting", pol.sched.Waiting()).
+		Int64("took_ms", int64(took)).Int64("give_up_ms", int64(bat.Timeout)).Msg("batch call ended")
 }
 
 // free releases results.
--- a/internal/batch/rates.go
+++ b/internal/batch/rates.go
@@ -21,16 +21,16 @@
 		if share == 0 {
 			wait = max(wait, rateRecheckInterval)
 		}
-		pol.sched.Hold(mkr.ID, now+wait)
+		pol.sched.Pause(mkr.ID, now+wait)
 	}
 	return share
 }
 
 func (pol *pool) rateShare() float64 {
-	if pol.set.Keeps == nil {
+	if pol.set.RateShare == nil {
 		return 1
 	}
-	return pol.set.Keeps(pol.name)
+	return pol.set.RateShare(pol.name)
 }
 
 // releaseInterval returns the minimum time between two calls that release results at the endpoint
@@ -38,7 +38,7 @@
 func (pol *pool) releaseInterval(addr string) clock.Milli {
 	for _, mkr := range pol.endpoints {
 		if mkr.Addr == addr {
-			return pol.rates.Each(mkr.ID)
+			return pol.rates.Interval(mkr.ID)
 		}
 	}
 	return 0
--- a/internal/batch/storage.go
+++ b/internal/batch/storage.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/gather"
 	"amaranthvalve/pkg/ident"
@@ -34,7 +34,7 @@
 func (pol *pool) takesOver(now clock.Milli) bool {
 	takeover := pol.lastOrder == 0 || now-pol.lastOrder > takeoverIdle
 	pol.lastOrder = max(now, 1)
-	return takeover && pol.resultStorage > 0 && pol.set.Dialect.Room != nil
+	return takeover && pol.resultStorage > 0 && pol.set.Dialect.FreeStorage != nil
 }
 
 // pollStorage polls the pool's endpoints for their free result storage until they hold no results
@@ -91,15 +91,15 @@
 }
 
 // queryFreeStorage queries one endpoint and returns the bytes that it holds for other coordinators.
-func (pol *pool) queryFreeStorage(mkr gather.Maker) (int64, error) {
+func (pol *pool) queryFreeStorage(mkr gather.Endpoint) (int64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), storagePollTimeout)
 	defer cancel()
-	free, err := pol.set.Dialect.Room(ctx, pol.set.Client, talk.Endpoint{ID: ident.Process(mkr.ID), Pool: pol.name, Addr: mkr.Addr, Zone: mkr.Zone})
+	free, err := pol.set.Dialect.FreeStorage(ctx, pol.set.Client, proto.Endpoint{ID: ident.Process(mkr.ID), Pool: pol.name, Addr: mkr.Addr, Zone: mkr.Zone})
 	if err != nil {
 		return 0, err
 	}
 	pol.mtx.Lock()
 	defer pol.mtx.Unlock()
 	defer pol.dispatch()
-	return pol.sched.Told(mkr.ID, free, pol.set.Clock.Now()), nil
+	return pol.sched.ReportFree(mkr.ID, free, pol.set.Clock.Now()), nil
 }
--- a/internal/batch/storage_test.go
+++ b/internal/batch/storage_test.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 
 	"amaranthvalve/internal/meter"
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/plan"
 )
@@ -21,14 +21,14 @@
 // the endpoint has dropped the old results the polling stops.
 func TestEndpointsArePolledForStorage(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	calls, timers, rounds, free := make(chan []talk.Item, 9), make(chan func(), 99), make(chan func(), 9), make(chan int64, 9)
-	dia := &talk.Dialect{
-		Run: func(ctx context.Context, _ *http.Client, _ talk.Endpoint, items []talk.Item) ([]talk.Made, talk.Reply, error) {
+	calls, timers, rounds, free := make(chan []proto.Item, 9), make(chan func(), 99), make(chan func(), 9), make(chan int64, 9)
+	dia := &proto.Dialect{
+		RunBatch: func(ctx context.Context, _ *http.Client, _ proto.Endpoint, items []proto.Item) ([]proto.ItemResult, proto.ReplyMeta, error) {
 			calls <- items
 			<-ctx.Done()
-			return nil, talk.Reply{}, ctx.Err()
+			return nil, proto.ReplyMeta{}, ctx.Err()
 		},
-		Room: func(_ context.Context, _ *http.Client, ep talk.Endpoint) (int64, error) {
+		FreeStorage: func(_ context.Context, _ *http.Client, ep proto.Endpoint) (int64, error) {
 			if ep.ID == "rank-2" {
 				return 0, errors.New("no answer")
 			}
@@ -46,13 +46,13 @@
 		},
 	})
 	pln, _ := plan.Compile(plan.Draft{Pools: []plan.DraftPool{{
-		Name: "ranks", Batch: &plan.DraftBatch{Places: 1, Most: 9, Call: 9000, Item: 1, Room: 1000, Keep: 4000},
+		Name: "ranks", Batch: &plan.DraftBatch{Slots: 1, MaxItems: 9, Call: 9000, Item: 1, ResultBytes: 1000, ResultTTL: 4000},
 	}}})
-	btr.Sync(pln, []talk.Endpoint{{ID: "rank-1", Pool: "ranks", Addr: "a:1"}, {ID: "rank-2", Pool: "ranks", Addr: "a:2", Leaving: true}}, nil)
+	btr.Sync(pln, []proto.Endpoint{{ID: "rank-1", Pool: "ranks", Addr: "a:1"}, {ID: "rank-2", Pool: "ranks", Addr: "a:2", Leaving: true}}, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	for range 4 {
-		go btr.Make(ctx, Order{Pool: "ranks", Count: 1, Bytes: 250, Due: clock.Minute, Until: clock.Minute})
+		go btr.Fill(ctx, Order{Pool: "ranks", Count: 1, Bytes: 250, Due: clock.Minute, Expires: clock.Minute})
 	}
 	begin := <-timers
 	gom.Eventually(func() int { return btr.pool("ranks").numWaiting() }, soon).Should(gomega.Equal(4))
--- a/internal/contr/claims.go
+++ b/internal/contr/claims.go
@@ -258,7 +258,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, stateWait)
 	defer cancel()
-	ans, err := cct.ctl.set.Link.Ask(ctx, addr, peer.Message{Kind: peer.AnswerWanted, From: cct.ctl.set.Self, Body: []byte(attempt)})
+	ans, err := cct.ctl.set.Link.Call(ctx, addr, peer.Message{Kind: peer.GetAnswer, From: cct.ctl.set.Self, Body: []byte(attempt)})
 	if err != nil || ans.Kind != peer.OK {
 		return Claimed{Move: claim.Answer, Result: lost, Looked: true}
 	}
--- a/internal/contr/control.go
+++ b/internal/contr/control.go
@@ -158,7 +158,7 @@
 	ctl.endpts.step(now)
 	ctl.claims.step(now)
 	ctl.leases.step(now)
-	ctl.set.Meter.Set(meter.GaugeEventQueue, float64(ctl.loop.Waiting()))
+	ctl.set.Meter.Set(meter.GaugeEventQueue, float64(ctl.loop.QueueLen()))
 }
 
 // Do runs an event on the control thread and waits for it. It gives false if the
--- a/internal/contr/docs.go
+++ b/internal/contr/docs.go
@@ -225,7 +225,7 @@
 func (dct *docsCtl) fetchFrom(ctx context.Context, addr string) (oplog.State, bool) {
 	ctx, cancel := context.WithTimeout(ctx, stateWait)
 	defer cancel()
-	ans, err := dct.ctl.set.Link.Ask(ctx, addr, peer.Message{Kind: peer.StateWanted, From: dct.ctl.set.Self})
+	ans, err := dct.ctl.set.Link.Call(ctx, addr, peer.Message{Kind: peer.GetState, From: dct.ctl.set.Self})
 	var st oplog.State
 	if err != nil || ans.Kind != peer.OK || cbor.Unmarshal(ans.Body, &st) != nil {
 		return oplog.State{}, false
--- a/internal/contr/endpts.go
+++ b/internal/contr/endpts.go
@@ -107,11 +107,11 @@
 	}
 	for _, who := range ect.ctl.members.list.Dead() {
 		if lineID(string(who)) == inst.ID {
-			ect.ctl.members.group.Greet(inst.Addr, who)
+			ect.ctl.members.group.Probe(inst.Addr, who)
 			return
 		}
 	}
-	ect.ctl.members.group.Greet(inst.Addr, "")
+	ect.ctl.members.group.Probe(inst.Addr, "")
 }
 
 func (ect *endptsCtl) step(now clock.Milli) {
--- a/internal/contr/members.go
+++ b/internal/contr/members.go
@@ -26,7 +26,7 @@
 	mct.list = member.New(ctl.set.Self, ctl.set.Zone, ctl.set.CallerAddr, now)
 	mct.group = group.Group{
 		Self: ctl.set.Self, List: mct.list, Link: ctl.set.Link, Offer: ctl.loop.Offer, Go: ctl.loop.Go,
-		Now: ctl.set.Clock.Now, Dress: mct.dress, Heard: mct.heard,
+		Now: ctl.set.Clock.Now, Attach: mct.dress, OnMessage: mct.heard,
 	}
 }
 
@@ -39,13 +39,13 @@
 
 // dress adds what rides along on probes and their answers.
 func (mct *membersCtl) dress(msg *peer.Message) {
-	msg.Left, msg.Demand = mct.ctl.endpts.lately(), mct.ctl.endpts.demand()
+	msg.Leaving, msg.Demand = mct.ctl.endpts.lately(), mct.ctl.endpts.demand()
 }
 
 // heard takes what rode along.
 func (mct *membersCtl) heard(msg peer.Message, _, now clock.Milli) {
 	mct.changed = true
-	for _, name := range msg.Left {
+	for _, name := range msg.Leaving {
 		mct.ctl.endpts.heardLeaving(name, now)
 	}
 	if mct.demand == nil {
@@ -58,8 +58,8 @@
 
 // Handle answers another instance; it is given to the link.
 func (ctl *Control) Handle(ctx context.Context, msg peer.Message) peer.Message {
-	if msg.Kind == peer.Indirect {
-		return ctl.members.group.ProbeFor(ctx, msg)
+	if msg.Kind == peer.IndirectProbe {
+		return ctl.members.group.ProbeIndirect(ctx, msg)
 	}
 	ans, ok := loop.Get(ctx, ctl.loop, func(now clock.Milli) peer.Message { return ctl.answer(msg, now) })
 	if !ok {
@@ -70,16 +70,16 @@
 
 // answer takes a message on the control thread.
 func (ctl *Control) answer(msg peer.Message, now clock.Milli) peer.Message {
-	ctl.members.group.Learn(msg, now, now)
+	ctl.members.group.Receive(msg, now, now)
 	ans := peer.Message{Kind: peer.Nack, From: ctl.set.Self}
 	switch msg.Kind {
 	case peer.Probe:
 		return ctl.members.group.Message(peer.OK, msg.From)
-	case peer.StateWanted:
+	case peer.GetState:
 		if body, ok := ctl.docs.stateFor(); ok {
 			ans.Kind, ans.Body = peer.OK, body
 		}
-	case peer.AnswerWanted:
+	case peer.GetAnswer:
 		if text, ok := ctl.claims.answers[string(msg.Body)]; ok {
 			ans.Kind, ans.Body = peer.OK, []byte(text)
 		}
--- a/internal/contr/status.go
+++ b/internal/contr/status.go
@@ -76,7 +76,7 @@
 
 // Part gives this instance's part of a workspace's rate.
 func (ctl *Control) Part(workspace string, rate, own float64) float64 {
-	return limit.Part(rate, own, ctl.Others(workspace))
+	return limit.Share(rate, own, ctl.Others(workspace))
 }
 
 // keepDemands publishes a copy of the live members' demands for traffic.
--- a/internal/homes/coord.go
+++ b/internal/coord/coord.go
@@ -1,10 +1,10 @@
-// Package homes finds the coordinator of a pool, the instance that batches the pool's items or
+// Package coord finds the coordinator of a pool, the instance that batches the pool's items or
 // places its prompts, and sends orders and placement requests to it.
 //
 // The coordinators follow from the membership. One that sends no keep-alive is abandoned for the
 // next, and this instance batches locally after three have failed: a request must not fail, nor run
 // out of time, because another instance died.
-package homes
+package coord
 
 import (
 	"context"
@@ -19,16 +19,16 @@
 	"amaranthvalve/internal/batch"
 	"amaranthvalve/internal/peer"
 	"amaranthvalve/internal/pools"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/internal/state"
-	"amaranthvalve/internal/talk"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/ident"
 	"amaranthvalve/pkg/place"
 )
 
 const (
-	// MaxPieces bounds the items of one stage of one request.
-	MaxPieces = 4096
+	// MaxItems bounds the items of one stage of one request.
+	MaxItems = 4096
 	// maxCoordinatorTries is the number of instances that an order is sent to before this one
 	// batches locally: when most instances have lost power, the first two often have.
 	maxCoordinatorTries = 3
@@ -48,25 +48,25 @@
 // errOrderRefused is returned when a coordinator answers an order with Nack.
 var errOrderRefused = errors.New("the coordinator refused the order")
 
-// Setup holds the dependencies of [Homes].
+// Setup holds the dependencies of [Coordinator].
 type Setup struct {
 	Control *state.Control
-	Desk    *batch.Desk
+	Batcher *batch.Batcher
 	Pools   *pools.Pools
 	// Link is nil for a single instance.
 	Link  *peer.Link
 	Clock clock.Clock
 	Log   zerolog.Logger
-	// Held queries the prompt parts in the cache of a model engine; nil if engines can't be
+	// CachedParts queries the prompt parts in the cache of a model engine; nil if engines can't be
 	// queried.
-	Held func(ctx context.Context, ep talk.Endpoint) ([]place.Part, error)
+	CachedParts func(ctx context.Context, ep proto.Endpoint) ([]place.Part, error)
 	// After runs work after a delay; nil selects the runtime's timers.
 	After func(span clock.Milli, work func())
 }
 
-// Homes sends orders, placement requests and queries to the coordinators of pools, and serves those
+// Coordinator sends orders, placement requests and queries to the coordinators of pools, and serves those
 // of other instances. It tracks which coordinators are unresponsive and how long items wait there.
-type Homes struct {
+type Coordinator struct {
 	set Setup
 	// joined is closed once this instance has had joinTimeout to receive the membership; it may
 	// have it earlier.
@@ -87,11 +87,11 @@
 }
 
 // New starts with every instance taken for responsive.
-func New(set Setup) *Homes {
+func New(set Setup) *Coordinator {
 	if set.After == nil {
 		set.After = func(span clock.Milli, work func()) { time.AfterFunc(span.Duration(), work) }
 	}
-	crd := &Homes{set: set, joined: make(chan struct{}), unresponsiveUntil: map[ident.Incarnation]clock.Milli{}, placeTimeouts: map[ident.Incarnation]int{}, waitEstimates: map[string]waitEstimate{}}
+	crd := &Coordinator{set: set, joined: make(chan struct{}), unresponsiveUntil: map[ident.Incarnation]clock.Milli{}, placeTimeouts: map[ident.Incarnation]int{}, waitEstimates: map[string]waitEstimate{}}
 	if set.Link == nil {
 		close(crd.joined)
 	} else {
@@ -102,15 +102,15 @@
 
 // Fill sends an order to the pool's coordinator, then to its successors, and finally fills it
 // locally. It also returns the address of the instance that filled it.
-func (crd *Homes) Fill(ctx context.Context, ord batch.Order, left func() (due, until clock.Milli)) (batch.Filled, string) {
+func (crd *Coordinator) Fill(ctx context.Context, ord batch.Order, left func() (due, until clock.Milli)) (batch.OrderResult, string) {
 	select {
 	case <-crd.joined:
-	case <-crd.set.Control.Met():
+	case <-crd.set.Control.MembersKnown():
 	case <-ctx.Done():
-		return batch.Filled{Flaw: talk.Late}, crd.set.Control.Self().Addr()
+		return batch.OrderResult{Failure: proto.Late}, crd.set.Control.Self().Addr()
 	}
 	tried := 0
-	for _, inc := range crd.set.Control.View().Gatherers(ord.Pool) {
+	for _, inc := range crd.set.Control.View().Coordinators(ord.Pool) {
 		if inc == crd.set.Control.Self() || tried >= maxCoordinatorTries {
 			break
 		}
@@ -118,83 +118,83 @@
 			continue
 		}
 		tried++
-		ord.Due, ord.Until = left()
+		ord.Due, ord.Expires = left()
 		orr, err := crd.sendOrder(ctx, inc, ord)
 		if err == nil {
 			crd.noteWait(ord.Pool, orr.Wait)
 			return orr, inc.Addr()
 		}
 		if ctx.Err() != nil {
-			return batch.Filled{}, inc.Addr()
+			return batch.OrderResult{}, inc.Addr()
 		}
 		crd.logLost(inc, ord, err)
 	}
-	ord.Due, ord.Until = left()
-	orr := crd.set.Desk.Make(ctx, ord)
+	ord.Due, ord.Expires = left()
+	orr := crd.set.Batcher.Fill(ctx, ord)
 	crd.noteWait(ord.Pool, orr.Wait)
 	return orr, crd.set.Control.Self().Addr()
 }
 
 // hasJoined reports whether this instance has received the membership or waited joinTimeout for it.
-func (crd *Homes) hasJoined() bool {
+func (crd *Coordinator) hasJoined() bool {
 	select {
 	case <-crd.joined:
-	case <-crd.set.Control.Met():
+	case <-crd.set.Control.MembersKnown():
 	default:
 		return false
 	}
 	return true
 }
 
-func (crd *Homes) sendOrder(ctx context.Context, inc ident.Incarnation, ord batch.Order) (batch.Filled, error) {
+func (crd *Coordinator) sendOrder(ctx context.Context, inc ident.Incarnation, ord batch.Order) (batch.OrderResult, error) {
 	body, err := cbor.Marshal(ord)
 	if err != nil {
-		return batch.Filled{}, err
+		return batch.OrderResult{}, err
 	}
-	msg := peer.Message{Kind: peer.PiecesWanted, From: crd.set.Control.Self(), To: inc, Body: body}
-	ans, err := crd.set.Link.AskSlowly(ctx, inc.Addr(), msg)
+	msg := peer.Message{Kind: peer.OrderItems, From: crd.set.Control.Self(), To: inc, Body: body}
+	ans, err := crd.set.Link.CallLong(ctx, inc.Addr(), msg)
 	if err != nil {
-		return batch.Filled{}, err
+		return batch.OrderResult{}, err
 	}
 	if ans.Kind != peer.OK {
-		return batch.Filled{}, errOrderRefused
+		return batch.OrderResult{}, errOrderRefused
 	}
-	var orr batch.Filled
+	var orr batch.OrderResult
 	return orr, cbor.Unmarshal(ans.Body, &orr)
 }
 
-func (crd *Homes) isUnresponsive(inc ident.Incarnation) bool {
+func (crd *Coordinator) isUnresponsive(inc ident.Incarnation) bool {
 	crd.mtx.Lock()
 	defer crd.mtx.Unlock()
 	return crd.set.Clock.Now() < crd.unresponsiveUntil[inc]
 }
 
-func (crd *Homes) logLost(inc ident.Incarnation, ord batch.Order, err error) {
+func (crd *Coordinator) logLost(inc ident.Incarnation, ord batch.Order, err error) {
 	crd.set.Log.Warn().Err(err).Str("request", ord.Request).Str("pool", ord.Pool).Str("gatherer", string(inc)).Msg("order failed at the coordinator")
 	crd.markUnresponsive(inc)
 }
 
 // markUnresponsive stops requests to an instance for a while and has it probed: if it has ended,
 // the other members should know before it would get requests again.
-func (crd *Homes) markUnresponsive(inc ident.Incarnation) {
+func (crd *Coordinator) markUnresponsive(inc ident.Incarnation) {
 	crd.mtx.Lock()
 	crd.unresponsiveUntil[inc] = crd.set.Clock.Now() + unresponsiveFor
 	crd.mtx.Unlock()
-	crd.set.Control.Doubt(inc)
+	crd.set.Control.Suspect(inc)
 }
 
-// FreeAll releases lots of results.
-func (crd *Homes) FreeAll(lots []batch.Lot) {
+// ReleaseAll releases lots of results.
+func (crd *Coordinator) ReleaseAll(lots []batch.ResultSet) {
 	for _, lot := range lots {
-		crd.Free(lot.Home, lot.Freed)
+		crd.Release(lot.Coordinator, lot.Release)
 	}
 }
 
-// Free releases results through the coordinator that had them computed. If that instance can't be
+// Release releases results through the coordinator that had them computed. If that instance can't be
 // reached, this one sends the release to the endpoints.
-func (crd *Homes) Free(home string, rrq batch.Freed) {
+func (crd *Coordinator) Release(home string, rrq batch.ReleaseRequest) {
 	if home == "" || home == crd.set.Control.Self().Addr() || crd.set.Link == nil {
-		crd.set.Desk.Free(rrq)
+		crd.set.Batcher.Release(rrq)
 		return
 	}
 	go func() {
@@ -204,23 +204,23 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
-		msg := peer.Message{Kind: peer.PiecesFreed, From: crd.set.Control.Self(), Body: body}
-		if ans, err := crd.set.Link.Ask(ctx, home, msg); err != nil || ans.Kind != peer.OK {
-			crd.set.Desk.Free(rrq)
+		msg := peer.Message{Kind: peer.ReleaseResults, From: crd.set.Control.Self(), Body: body}
+		if ans, err := crd.set.Link.Call(ctx, home, msg); err != nil || ans.Kind != peer.OK {
+			crd.set.Batcher.Release(rrq)
 		}
 	}()
 }
 
-// Gather handles an order of another instance; it is registered with the link.
-func (crd *Homes) Gather(ctx context.Context, msg peer.Message) peer.Message {
+// HandleOrder handles an order of another instance; it is registered with the link.
+func (crd *Coordinator) HandleOrder(ctx context.Context, msg peer.Message) peer.Message {
 	ans := peer.Message{Kind: peer.Nack, From: crd.set.Control.Self()}
 	var ord batch.Order
-	if cbor.Unmarshal(msg.Body, &ord) != nil || ord.Count < 1 || ord.Count > MaxPieces {
+	if cbor.Unmarshal(msg.Body, &ord) != nil || ord.Count < 1 || ord.Count > MaxItems {
 		return ans
 	}
 	crd.orders.Add(1)
 	defer crd.orders.Add(-1)
-	body, err := cbor.Marshal(crd.set.Desk.Make(ctx, ord))
+	body, err := cbor.Marshal(crd.set.Batcher.Fill(ctx, ord))
 	if err == nil {
 		ans.Kind, ans.Body = peer.OK, body
 	}
@@ -228,14 +228,14 @@
 }
 
 // Orders returns the number of orders of other instances in progress here.
-func (crd *Homes) Orders() int64 { return crd.orders.Load() }
+func (crd *Coordinator) Orders() int64 { return crd.orders.Load() }
 
-// Freed handles the release of results by another instance; it is registered with the link.
-func (crd *Homes) Freed(msg peer.Message) peer.Message {
-	var rrq batch.Freed
+// HandleRelease handles the release of results by another instance; it is registered with the link.
+func (crd *Coordinator) HandleRelease(msg peer.Message) peer.Message {
+	var rrq batch.ReleaseRequest
 	if cbor.Unmarshal(msg.Body, &rrq) != nil {
 		return peer.Message{Kind: peer.Nack, From: crd.set.Control.Self()}
 	}
-	crd.set.Desk.Free(rrq)
+	crd.set.Batcher.Release(rrq)
 	return peer.Message{Kind: peer.OK, From: crd.set.Control.Self()}
 }
--- a/internal/homes/coord_test.go
+++ b/internal/coord/coord_test.go
@@ -1,4 +1,4 @@
-package homes
+package coord
 
 import (
 	"context"
@@ -14,28 +14,28 @@
 	"amaranthvalve/internal/meter"
 	"amaranthvalve/internal/peer"
 	"amaranthvalve/internal/pools"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/internal/state"
-	"amaranthvalve/internal/talk"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/ident"
 	"amaranthvalve/pkg/place"
 	"amaranthvalve/pkg/plan"
 )
 
-// starting returns the [Homes] of an instance that has just started, its timers, which the test
+// starting returns the [Coordinator] of an instance that has just started, its timers, which the test
 // fires, and the calls that its batcher makes.
-func starting() (*Homes, chan func(), chan []talk.Item) {
-	calls, timers := make(chan []talk.Item, 9), make(chan func(), 9)
-	dia := &talk.Dialect{Run: func(_ context.Context, _ *http.Client, _ talk.Endpoint, items []talk.Item) ([]talk.Made, talk.Reply, error) {
+func starting() (*Coordinator, chan func(), chan []proto.Item) {
+	calls, timers := make(chan []proto.Item, 9), make(chan func(), 9)
+	dia := &proto.Dialect{RunBatch: func(_ context.Context, _ *http.Client, _ proto.Endpoint, items []proto.Item) ([]proto.ItemResult, proto.ReplyMeta, error) {
 		calls <- items
-		return []talk.Made{{Handle: "h"}}, talk.Reply{}, nil
+		return []proto.ItemResult{{Handle: "h"}}, proto.ReplyMeta{}, nil
 	}}
 	btr := batch.New(batch.Setup{Dialect: dia, Meter: meter.New(), Log: zerolog.Nop(), Reserve: 10, Window: 10 * clock.Second})
-	pln, _ := plan.Compile(plan.Draft{Pools: []plan.DraftPool{{Name: "encode", Batch: &plan.DraftBatch{Places: 1, Most: 9, Call: 20}}}})
-	btr.Sync(pln, []talk.Endpoint{{ID: "e1", Pool: "encode", Addr: "a:1"}}, nil)
+	pln, _ := plan.Compile(plan.Draft{Pools: []plan.DraftPool{{Name: "encode", Batch: &plan.DraftBatch{Slots: 1, MaxItems: 9, Call: 20}}}})
+	btr.Sync(pln, []proto.Endpoint{{ID: "e1", Pool: "encode", Addr: "a:1"}}, nil)
 	self := ident.NewIncarnation("127.0.0.1:1")
 	crd := New(Setup{
-		Control: state.New(state.Setup{Self: self, Meter: meter.New(), Log: zerolog.Nop()}), Desk: btr, Link: &peer.Link{},
+		Control: state.New(state.Setup{Self: self, Meter: meter.New(), Log: zerolog.Nop()}), Batcher: btr, Link: &peer.Link{},
 		Log: zerolog.Nop(), After: func(_ clock.Milli, work func()) { timers <- work },
 	})
 	return crd, timers, calls
@@ -48,7 +48,7 @@
 func TestOrdersWaitForMembership(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	crd, timers, calls := starting()
-	ends := make(chan batch.Filled, 1)
+	ends := make(chan batch.OrderResult, 1)
 	go func() {
 		orr, _ := crd.Fill(context.Background(), batch.Order{Pool: "encode", Request: "r", Count: 1, Key: "k"}, func() (due, until clock.Milli) {
 			return 5 * clock.Second, 9 * clock.Second
@@ -76,18 +76,18 @@
 func TestNewCoordinatorQueriesCaches(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	pln, _ := plan.Compile(plan.Draft{Pools: []plan.DraftPool{{Name: "models", Engine: &plan.DraftEngine{Places: 8}}}})
-	var eps []talk.Endpoint
+	var eps []proto.Endpoint
 	for i := range 6 {
-		eps = append(eps, talk.Endpoint{ID: ident.Process(fmt.Sprint("e", i)), Pool: "models", Addr: "a"})
+		eps = append(eps, proto.Endpoint{ID: ident.Process(fmt.Sprint("e", i)), Pool: "models", Addr: "a"})
 	}
 	vw := state.ViewOf(pln, eps...)
 	pls := pools.New(pools.Setup{})
 	pls.Sync(vw)
-	prm := place.Prompt{Parts: []place.Part{{ID: "doc", Tokens: 4000}, {ID: "own", Tokens: 9}}, In: 4009, Out: 10}
+	prm := place.Prompt{Parts: []place.Part{{ID: "doc", Tokens: 4000}, {ID: "own", Tokens: 9}}, InTokens: 4009, MaxOutTokens: 10}
 	queried := make(chan ident.Process, 99)
 	crd := New(Setup{
 		Control: state.New(state.Setup{Self: ident.NewIncarnation("127.0.0.1:1"), Meter: meter.New(), Log: zerolog.Nop()}), Pools: pls, Link: &peer.Link{}, Log: zerolog.Nop(),
-		Held: func(_ context.Context, ep talk.Endpoint) ([]place.Part, error) {
+		CachedParts: func(_ context.Context, ep proto.Endpoint) ([]place.Part, error) {
 			defer func() { queried <- ep.ID }()
 			switch ep.ID {
 			case "e1":
--- a/internal/homes/places.go
+++ b/internal/coord/places.go
@@ -1,4 +1,4 @@
-package homes
+package coord
 
 import (
 	"context"
@@ -61,14 +61,14 @@
 	Span clock.Milli `cbor:"5,keyasint,omitempty"`
 }
 
-// Seat is the placement of a request, and the coordinator that chose it.
-type Seat struct {
+// Placement is the placement of a request, and the coordinator that chose it.
+type Placement struct {
 	pools.Target
 	promptCoordinator ident.Incarnation
 }
 
 // Place chooses the endpoint of a final call and counts the request there.
-func (crd *Homes) Place(ctx context.Context, vw *state.View, pool, ticket string, ask place.Ask) (Seat, bool) {
+func (crd *Coordinator) Place(ctx context.Context, vw *state.View, pool, ticket string, ask place.Ask) (Placement, bool) {
 	if pol, ok := vw.Plan().Pool(pool); ok && pol.Engine() == nil {
 		return crd.placePlain(ctx, vw, pool, ask)
 	}
@@ -77,8 +77,8 @@
 		return crd.pick(pool, ticket, ask, crd.rateShareIn(vw, pool))
 	}
 	if prp, ok := crd.requestPlace(ctx, inc, placeRequest{Pool: pool, Ticket: ticket, Ask: ask}); ok {
-		if tgt, ok := crd.set.Pools.Take(pool, prp.ID, prp.From, ticket, ask); ok {
-			return Seat{Target: tgt, promptCoordinator: inc}, true
+		if tgt, ok := crd.set.Pools.Assign(pool, prp.ID, prp.From, ticket, ask); ok {
+			return Placement{Target: tgt, promptCoordinator: inc}, true
 		}
 	}
 	return crd.pick(pool, ticket, ask, 0)
@@ -86,22 +86,22 @@
 
 // pick places a request by the records of this instance; share is the fraction of the engines'
 // declared rates that it may use.
-func (crd *Homes) pick(pool, ticket string, ask place.Ask, share float64) (Seat, bool) {
+func (crd *Coordinator) pick(pool, ticket string, ask place.Ask, share float64) (Placement, bool) {
 	tgt, ok := crd.set.Pools.Pick(pool, ticket, ask, share)
 	if ok && tgt.Ticket != "" {
-		why, request := tgt.Why, ticket
+		why, request := tgt.Placement, ticket
 		if at := strings.LastIndexByte(ticket, '/'); at >= 0 {
 			request = ticket[:at]
 		}
-		crd.set.Log.Info().Str("request", request).Str("pool", pool).Str("endpoint", string(tgt.ID)).Int("tokens", ask.Prompt.In).Int("held_tokens", why.Held).
-			Int64("wait_ms", int64(why.Wait)).Int64("read_ms", int64(why.Read)).Int("streams", why.Streams).Str("fetch_from", tgt.From).Int("avoided", len(ask.Avoid)).Msg("engine chosen")
+		crd.set.Log.Info().Str("request", request).Str("pool", pool).Str("endpoint", string(tgt.ID)).Int("tokens", ask.Prompt.InTokens).Int("held_tokens", why.CachedTokens).
+			Int64("wait_ms", int64(why.Wait)).Int64("read_ms", int64(why.Read)).Int("streams", why.Streams).Str("fetch_from", tgt.FetchFrom).Int("avoided", len(ask.Avoid)).Msg("engine chosen")
 	}
-	return Seat{Target: tgt}, ok
+	return Placement{Target: tgt}, ok
 }
 
-// Aim returns the model engine that a request will probably go to and its time to read the prompt;
+// Predict returns the model engine that a request will probably go to and its time to read the prompt;
 // false if there is none.
-func (crd *Homes) Aim(ctx context.Context, vw *state.View, pool string, ask place.Ask) (eng place.Engine, read clock.Milli, ok bool) {
+func (crd *Coordinator) Predict(ctx context.Context, vw *state.View, pool string, ask place.Ask) (eng place.Engine, read clock.Milli, ok bool) {
 	if inc := crd.promptCoordinator(vw, pool); inc != crd.set.Control.Self() {
 		if prp, ok := crd.requestPlace(ctx, inc, placeRequest{Pool: pool, Ask: ask, Aim: true}); ok {
 			if eng, ok := crd.set.Pools.Find(pool, prp.ID); ok {
@@ -109,14 +109,14 @@
 			}
 		}
 	}
-	seat, ok := crd.set.Pools.Aim(pool, ask, crd.rateShareIn(vw, pool))
+	seat, ok := crd.set.Pools.Predict(pool, ask, crd.rateShareIn(vw, pool))
 	return seat.Engine, seat.Read, ok
 }
 
 // promptCoordinator returns the instance that places a pool's prompts; this one for plain pools,
 // whose endpoints each instance chooses by itself. When this instance becomes the coordinator, it
 // queries the engines' caches.
-func (crd *Homes) promptCoordinator(vw *state.View, pool string) ident.Incarnation {
+func (crd *Coordinator) promptCoordinator(vw *state.View, pool string) ident.Incarnation {
 	pol, ok := vw.Plan().Pool(pool)
 	if !ok || pol.Engine() == nil || crd.set.Link == nil || !crd.hasJoined() {
 		return crd.set.Control.Self()
@@ -129,14 +129,14 @@
 	return inc
 }
 
-func (crd *Homes) requestPlace(ctx context.Context, inc ident.Incarnation, prq placeRequest) (placeReply, bool) {
+func (crd *Coordinator) requestPlace(ctx context.Context, inc ident.Incarnation, prq placeRequest) (placeReply, bool) {
 	body, err := cbor.Marshal(prq)
 	if err != nil {
 		return placeReply{}, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
-	ans, err := crd.set.Link.Ask(ctx, inc.Addr(), peer.Message{Kind: peer.PlaceWanted, From: crd.set.Control.Self(), To: inc, Body: body})
+	ans, err := crd.set.Link.Call(ctx, inc.Addr(), peer.Message{Kind: peer.PlacePrompt, From: crd.set.Control.Self(), To: inc, Body: body})
 	crd.notePlaceReply(inc, err == nil)
 	if err != nil || ans.Kind != peer.OK {
 		crd.set.Log.Info().AnErr("error", err).Str("request", prq.Ticket).Str("pool", prq.Pool).Str("placer", string(inc)).Msg("no placement from the coordinator, placing locally")
@@ -150,7 +150,7 @@
 }
 
 // notePlaceReply records whether an instance answered a placement request.
-func (crd *Homes) notePlaceReply(inc ident.Incarnation, answered bool) {
+func (crd *Coordinator) notePlaceReply(inc ident.Incarnation, answered bool) {
 	crd.mtx.Lock()
 	if answered {
 		delete(crd.placeTimeouts, inc)
@@ -168,8 +168,8 @@
 	}
 }
 
-// Seat handles a placement request of another instance; it is registered with the link.
-func (crd *Homes) Seat(msg peer.Message) peer.Message {
+// HandlePlace handles a placement request of another instance; it is registered with the link.
+func (crd *Coordinator) HandlePlace(msg peer.Message) peer.Message {
 	ans := peer.Message{Kind: peer.Nack, From: crd.set.Control.Self()}
 	var prq placeRequest
 	if cbor.Unmarshal(msg.Body, &prq) != nil {
@@ -179,13 +179,13 @@
 		crd.promptCoordinator(vw, prq.Pool)
 	}
 	var prp placeReply
-	share := crd.Keeps(prq.Pool)
+	share := crd.RateShare(prq.Pool)
 	if prq.Aim {
-		if seat, ok := crd.set.Pools.Aim(prq.Pool, prq.Ask, share); ok {
+		if seat, ok := crd.set.Pools.Predict(prq.Pool, prq.Ask, share); ok {
 			prp = placeReply{ID: seat.Engine.ID, Read: seat.Read}
 		}
 	} else if seat, ok := crd.pick(prq.Pool, prq.Ticket, prq.Ask, share); ok {
-		prp = placeReply{ID: string(seat.ID), From: seat.From}
+		prp = placeReply{ID: string(seat.ID), From: seat.FetchFrom}
 	}
 	if body, err := cbor.Marshal(prp); err == nil {
 		ans.Kind, ans.Body = peer.OK, body
@@ -193,17 +193,17 @@
 	return ans
 }
 
-// First records the first event of a request and the time that it took.
-func (crd *Homes) First(pool string, seat Seat, took clock.Milli) {
+// FirstEvent records the first event of a request and the time that it took.
+func (crd *Coordinator) FirstEvent(pool string, seat Placement, took clock.Milli) {
 	if seat.Ticket == "" {
 		return
 	}
-	crd.set.Pools.First(pool, seat.Ticket, took)
+	crd.set.Pools.FirstEvent(pool, seat.Ticket, took)
 	crd.reports.add(crd, seat.promptCoordinator, report{Pool: pool, Ticket: seat.Ticket, Span: took})
 }
 
-// End records the end of a request at a model engine and the longest pause between its events.
-func (crd *Homes) End(pool string, seat Seat, end place.Ending, pause clock.Milli) {
+// RecordEnd records the end of a request at a model engine and the longest pause between its events.
+func (crd *Coordinator) RecordEnd(pool string, seat Placement, end place.Ending, pause clock.Milli) {
 	if seat.Ticket == "" {
 		return
 	}
@@ -211,8 +211,8 @@
 	crd.reports.add(crd, seat.promptCoordinator, report{Pool: pool, Ticket: seat.Ticket, Ended: true, End: end, Span: pause})
 }
 
-// Heard handles reports on requests that were placed here; it is registered with the link.
-func (crd *Homes) Heard(msg peer.Message) peer.Message {
+// HandleReports handles reports on requests that were placed here; it is registered with the link.
+func (crd *Coordinator) HandleReports(msg peer.Message) peer.Message {
 	var list []report
 	if cbor.Unmarshal(msg.Body, &list) != nil {
 		return peer.Message{Kind: peer.Nack, From: crd.set.Control.Self()}
@@ -222,7 +222,7 @@
 			crd.set.Pools.End(rpt.Pool, rpt.Ticket, rpt.End, rpt.Span)
 			continue
 		}
-		crd.set.Pools.First(rpt.Pool, rpt.Ticket, rpt.Span)
+		crd.set.Pools.FirstEvent(rpt.Pool, rpt.Ticket, rpt.Span)
 	}
 	return peer.Message{Kind: peer.OK, From: crd.set.Control.Self()}
 }
@@ -234,7 +234,7 @@
 	byCoordinator map[ident.Incarnation][]report
 }
 
-func (rps *reports) add(crd *Homes, inc ident.Incarnation, rpt report) {
+func (rps *reports) add(crd *Coordinator, inc ident.Incarnation, rpt report) {
 	if inc == "" {
 		return
 	}
@@ -249,7 +249,7 @@
 	rps.byCoordinator[inc] = append(rps.byCoordinator[inc], rpt)
 }
 
-func (rps *reports) send(crd *Homes, inc ident.Incarnation) {
+func (rps *reports) send(crd *Coordinator, inc ident.Incarnation) {
 	rps.mtx.Lock()
 	list := rps.byCoordinator[inc]
 	delete(rps.byCoordinator, inc)
@@ -260,5 +260,5 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	_, _ = crd.set.Link.Ask(ctx, inc.Addr(), peer.Message{Kind: peer.PlaceTold, From: crd.set.Control.Self(), Body: body})
+	_, _ = crd.set.Link.Call(ctx, inc.Addr(), peer.Message{Kind: peer.ReportPlaced, From: crd.set.Control.Self(), Body: body})
 }
--- a/internal/homes/rates.go
+++ b/internal/coord/rates.go
@@ -1,4 +1,4 @@
-package homes
+package coord
 
 import (
 	"context"
@@ -25,7 +25,7 @@
 
 // rateShareIn returns the fraction of the declared rates of a pool's endpoints that this instance
 // may use by a view of the membership.
-func (crd *Homes) rateShareIn(vw *state.View, pool string) (share float64) {
+func (crd *Coordinator) rateShareIn(vw *state.View, pool string) (share float64) {
 	if crd.set.Link == nil {
 		return 1
 	}
@@ -38,13 +38,13 @@
 	if !mine {
 		return 0
 	}
-	return limit.KeptShare(before, now-crd.tenures.since(pool))
+	return limit.CoordinatorShare(before, now-crd.tenures.since(pool))
 }
 
 // unresponsiveBefore reports whether this instance coordinates a pool, and how many unresponsive
 // instances precede it.
-func (crd *Homes) unresponsiveBefore(vw *state.View, pool string) (before int, mine bool) {
-	for _, inc := range vw.Gatherers(pool) {
+func (crd *Coordinator) unresponsiveBefore(vw *state.View, pool string) (before int, mine bool) {
+	for _, inc := range vw.Coordinators(pool) {
 		switch {
 		case inc == crd.set.Control.Self():
 			return before, true
@@ -56,9 +56,11 @@
 	return before, true
 }
 
-// Keeps returns the fraction of the declared rates of a pool's endpoints that this instance may use
+// RateShare returns the fraction of the declared rates of a pool's endpoints that this instance may use
 // by the current view.
-func (crd *Homes) Keeps(pool string) float64 { return crd.rateShareIn(crd.set.Control.View(), pool) }
+func (crd *Coordinator) RateShare(pool string) float64 {
+	return crd.rateShareIn(crd.set.Control.View(), pool)
+}
 
 // permit is a coordinator's answer: the endpoint that may be sent a request, or the time until one
 // may.
@@ -90,23 +92,23 @@
 
 // placePlain chooses a plain endpoint: one with a declared rate if there is a permit for it, so
 // that its rate is used, and otherwise one without.
-func (crd *Homes) placePlain(ctx context.Context, vw *state.View, pool string, ask place.Ask) (Seat, bool) {
-	if crd.set.Pools.Rated(pool) {
+func (crd *Coordinator) placePlain(ctx context.Context, vw *state.View, pool string, ask place.Ask) (Placement, bool) {
+	if crd.set.Pools.HasRates(pool) {
 		if id := crd.acquirePermit(ctx, vw, pool); id != "" {
-			if tgt, ok := crd.set.Pools.PickOnly(pool, id, ask.Avoid); ok {
-				return Seat{Target: tgt}, true
+			if tgt, ok := crd.set.Pools.PickByID(pool, id, ask.Avoid); ok {
+				return Placement{Target: tgt}, true
 			}
 		}
 	}
 	tgt, ok := crd.set.Pools.Pick(pool, "", ask, 0)
-	return Seat{Target: tgt}, ok
+	return Placement{Target: tgt}, ok
 }
 
 // acquirePermit returns an endpoint with a declared rate that may be sent a request now; empty if
 // there is none.
-func (crd *Homes) acquirePermit(ctx context.Context, vw *state.View, pool string) string {
+func (crd *Coordinator) acquirePermit(ctx context.Context, vw *state.View, pool string) string {
 	if share := crd.rateShareIn(vw, pool); share > 0 {
-		id, _ := crd.set.Pools.Permit(pool, share)
+		id, _ := crd.set.Pools.TakePermit(pool, share)
 		return id
 	}
 	now := crd.set.Clock.Now()
@@ -124,10 +126,10 @@
 	return prm.ID
 }
 
-func (crd *Homes) requestPermit(ctx context.Context, inc ident.Incarnation, pool string) (permit, bool) {
+func (crd *Coordinator) requestPermit(ctx context.Context, inc ident.Incarnation, pool string) (permit, bool) {
 	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
-	ans, err := crd.set.Link.Ask(ctx, inc.Addr(), peer.Message{Kind: peer.PermitWanted, From: crd.set.Control.Self(), To: inc, Body: []byte(pool)})
+	ans, err := crd.set.Link.Call(ctx, inc.Addr(), peer.Message{Kind: peer.GetPermit, From: crd.set.Control.Self(), To: inc, Body: []byte(pool)})
 	var prm permit
 	if err != nil || ans.Kind != peer.OK || cbor.Unmarshal(ans.Body, &prm) != nil {
 		return permit{}, false
@@ -135,15 +137,15 @@
 	return prm, true
 }
 
-// Permit handles a permit request of another instance; it is registered with the link.
-func (crd *Homes) Permit(msg peer.Message) peer.Message {
+// HandlePermit handles a permit request of another instance; it is registered with the link.
+func (crd *Coordinator) HandlePermit(msg peer.Message) peer.Message {
 	ans := peer.Message{Kind: peer.Nack, From: crd.set.Control.Self()}
-	share := crd.Keeps(string(msg.Body))
+	share := crd.RateShare(string(msg.Body))
 	if share == 0 {
 		return ans
 	}
 	var prm permit
-	prm.ID, prm.Wait = crd.set.Pools.Permit(string(msg.Body), share)
+	prm.ID, prm.Wait = crd.set.Pools.TakePermit(string(msg.Body), share)
 	if body, err := cbor.Marshal(prm); err == nil {
 		ans.Kind, ans.Body = peer.OK, body
 	}
--- a/internal/homes/tenures.go
+++ b/internal/coord/tenures.go
@@ -1,12 +1,12 @@
-package homes
+package coord
 
 import (
 	"context"
 	"sync"
 	"time"
 
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/internal/state"
-	"amaranthvalve/internal/talk"
 	"amaranthvalve/pkg/clock"
 )
 
@@ -65,8 +65,8 @@
 // hashing alone, prompts go to other engines than those that have read them: after a loss of all
 // instances, or in a rolling restart with its seven successions, more tokens were read again than
 // in all the rest of the time.
-func (crd *Homes) queryCaches(vw *state.View, pool string) {
-	if crd.set.Held == nil {
+func (crd *Coordinator) queryCaches(vw *state.View, pool string) {
+	if crd.set.CachedParts == nil {
 		return
 	}
 	began := crd.set.Clock.Now()
@@ -96,13 +96,13 @@
 		Int64("took_ms", int64(crd.set.Clock.Since(began))).Msg("became coordinator, queried prompt caches of engines")
 }
 
-func (crd *Homes) queryCache(ep talk.Endpoint) (int, error) {
+func (crd *Coordinator) queryCache(ep proto.Endpoint) (int, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), cacheQueryTimeout)
 	defer cancel()
-	parts, err := crd.set.Held(ctx, ep)
+	parts, err := crd.set.CachedParts(ctx, ep)
 	if err != nil {
 		return 0, err
 	}
-	crd.set.Pools.Holds(ep.Pool, ep.ID, parts)
+	crd.set.Pools.SetCached(ep.Pool, ep.ID, parts)
 	return len(parts), nil
 }
--- a/internal/homes/waits.go
+++ b/internal/coord/waits.go
@@ -1,4 +1,4 @@
-package homes
+package coord
 
 import (
 	"context"
@@ -38,15 +38,15 @@
 	at   clock.Milli
 }
 
-func (crd *Homes) noteWait(pool string, span clock.Milli) {
+func (crd *Coordinator) noteWait(pool string, span clock.Milli) {
 	crd.mtx.Lock()
 	defer crd.mtx.Unlock()
 	crd.waitEstimates[pool] = waitEstimate{span: span, at: crd.set.Clock.Now()}
 }
 
-// Wait estimates how long an item of a pool would wait: the coordinator's last estimate, less the
+// EstimateWait estimates how long an item of a pool would wait: the coordinator's last estimate, less the
 // time since.
-func (crd *Homes) Wait(pool string) clock.Milli {
+func (crd *Coordinator) EstimateWait(pool string) clock.Milli {
 	crd.mtx.Lock()
 	defer crd.mtx.Unlock()
 	est := crd.waitEstimates[pool]
@@ -69,11 +69,11 @@
 	Elapsed clock.Milli `cbor:"2,keyasint,omitempty"`
 }
 
-// Ask queries the coordinators of pools for the wait estimates that [Homes.Wait] returns, and
+// QueryWaits queries the coordinators of pools for the wait estimates that [Coordinator.EstimateWait] returns, and
 // returns the time since the first arrival of the request at any instance, which the coordinator of
 // the first pool records. The last estimate of a coordinator that doesn't answer stays in use;
 // orders and probes find out whether it is gone.
-func (crd *Homes) Ask(ctx context.Context, vw *state.View, fp uint64, pools []string) (elapsed clock.Milli) {
+func (crd *Coordinator) QueryWaits(ctx context.Context, vw *state.View, fp uint64, pools []string) (elapsed clock.Milli) {
 	queries := map[ident.Incarnation]waitQuery{}
 	for i, pool := range pools {
 		inc := crd.coordinator(vw, pool)
@@ -105,8 +105,8 @@
 }
 
 // coordinator returns the instance that an order for a pool would go to.
-func (crd *Homes) coordinator(vw *state.View, pool string) ident.Incarnation {
-	for _, inc := range vw.Gatherers(pool) {
+func (crd *Coordinator) coordinator(vw *state.View, pool string) ident.Incarnation {
+	for _, inc := range vw.Coordinators(pool) {
 		if !crd.isUnresponsive(inc) {
 			return inc
 		}
@@ -115,7 +115,7 @@
 }
 
 // queryWait queries one coordinator, which may be this instance.
-func (crd *Homes) queryWait(ctx context.Context, inc ident.Incarnation, wqr waitQuery) (waitReply, bool) {
+func (crd *Coordinator) queryWait(ctx context.Context, inc ident.Incarnation, wqr waitQuery) (waitReply, bool) {
 	if inc == crd.set.Control.Self() || crd.set.Link == nil {
 		return crd.answerWait(wqr), true
 	}
@@ -123,8 +123,8 @@
 	if err != nil {
 		return waitReply{}, false
 	}
-	msg := peer.Message{Kind: peer.WaitWanted, From: crd.set.Control.Self(), To: inc, Body: body}
-	ans, err := crd.set.Link.Ask(ctx, inc.Addr(), msg)
+	msg := peer.Message{Kind: peer.GetWait, From: crd.set.Control.Self(), To: inc, Body: body}
+	ans, err := crd.set.Link.Call(ctx, inc.Addr(), msg)
 	if err != nil || ans.Kind != peer.OK {
 		return waitReply{}, false
 	}
@@ -135,10 +135,10 @@
 	return wrp, true
 }
 
-func (crd *Homes) answerWait(wqr waitQuery) waitReply {
+func (crd *Coordinator) answerWait(wqr waitQuery) waitReply {
 	wrp := waitReply{Waits: make([]clock.Milli, len(wqr.Pools))}
 	for i, pool := range wqr.Pools {
-		wrp.Waits[i] = crd.set.Desk.Wait(pool)
+		wrp.Waits[i] = crd.set.Batcher.EstimateWait(pool)
 	}
 	if wqr.Fingerprint != 0 {
 		wrp.Elapsed = crd.arrivals.elapsed(wqr.Fingerprint, crd.set.Clock.Now())
@@ -146,8 +146,8 @@
 	return wrp
 }
 
-// Tell handles a wait query of another instance; it is registered with the link.
-func (crd *Homes) Tell(msg peer.Message) peer.Message {
+// HandleWaitQuery handles a wait query of another instance; it is registered with the link.
+func (crd *Coordinator) HandleWaitQuery(msg peer.Message) peer.Message {
 	ans := peer.Message{Kind: peer.Nack, From: crd.set.Control.Self()}
 	var wqr waitQuery
 	if cbor.Unmarshal(msg.Body, &wqr) != nil {
--- a/internal/homes/waits_test.go
+++ b/internal/coord/waits_test.go
@@ -1,4 +1,4 @@
-package homes
+package coord
 
 import (
 	"testing"
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -166,7 +166,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		server, client := peer.KeysFrom(func() (*tls.Certificate, *x509.CertPool, error) { return pair, ath.Pool(), nil })
+		server, client := peer.TLSConfigsFrom(func() (*tls.Certificate, *x509.CertPool, error) { return pair, ath.Pool(), nil })
 		return server, client, nil
 	}
 }
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -44,7 +44,7 @@
 	rnr    *stage.Runner
 	chn    *filter.Chain
 	link   *peer.Link
-	caller *serve.Draining
+	caller *serve.DrainServer
 	ops    *http.Server
 	calls  net.Listener
 	opers  net.Listener
@@ -60,7 +60,7 @@
 
 // FileKeys reads the keys from the files that the settings name.
 func FileKeys(set *conf.Settings) Keys {
-	return func() (*tls.Config, *tls.Config, error) { return peer.Keys(set.TLS()) }
+	return func() (*tls.Config, *tls.Config, error) { return peer.TLSConfigs(set.TLS()) }
 }
 
 // New opens the sockets of an instance. Nothing is served before Start.
@@ -95,7 +95,7 @@
 		if err != nil {
 			return Error.Wrap(err)
 		}
-		nod.link.Refused = func(err error) {
+		nod.link.OnRefused = func(err error) {
 			nod.mtr.Event(meter.EventPeerRefused)
 			nod.log.Warn().Err(err).Msg("a peer was refused")
 		}
@@ -119,15 +119,15 @@
 }
 
 func (nod *Node) serveHTTP() error {
-	callers, err := serve.Router(nod.callerRoutes())
+	callers, err := serve.NewRouter(nod.callerRoutes())
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	ops, err := serve.Router(nod.opsRoutes())
+	ops, err := serve.NewRouter(nod.opsRoutes())
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	nod.caller, nod.ops = serve.NewDraining(callers, nod.calls, nod.set.MaxConnections()), serve.Plain(ops)
+	nod.caller, nod.ops = serve.NewDrainServer(callers, nod.calls, nod.set.MaxConnections()), serve.NewPlain(ops)
 	return nil
 }
 
--- a/internal/entry/world_test.go
+++ b/internal/entry/world_test.go
@@ -147,7 +147,7 @@
 	nod, err := New(set, wld.keys, zerolog.Nop())
 	expect(err).NotTo(anything())
 	// The seam is set before the link is used; the test then turns the switch.
-	nod.link.Cut = func(string) bool { return rly.cut.Load() && rly.peers.Load() }
+	nod.link.Partitioned = func(string) bool { return rly.cut.Load() && rly.peers.Load() }
 	nod.Start()
 	wld.nodes = append(wld.nodes, nod)
 	wld.relays = append(wld.relays, rly)
@@ -159,7 +159,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	server, client := peer.KeysFrom(func() (*tls.Certificate, *x509.CertPool, error) { return pair, wld.ath.Pool(), nil })
+	server, client := peer.TLSConfigsFrom(func() (*tls.Certificate, *x509.CertPool, error) { return pair, wld.ath.Pool(), nil })
 	return server, client, nil
 }
 
--- a/internal/filter/limit.go
+++ b/internal/filter/limit.go
@@ -64,7 +64,7 @@
 	defer lft.mtx.Unlock()
 	now := lft.clk.Now()
 	if lft.inFlight >= lft.room(cl.doc.Priority()) {
-		return nil, outcm.Refuse(outcm.QueueFull, retry.Spread(busyRetry), "too many requests are under way at this instance")
+		return nil, outcm.Refuse(outcm.QueueFull, retry.Jittered(busyRetry), "too many requests are under way at this instance")
 	}
 	tbl := lft.table(cl, now)
 	tbl.seen(now)
@@ -72,9 +72,9 @@
 	tbl.wsp.Set(lft.ctl.Part(cl.Workspace, perSecond, tbl.rate), burst, cl.wsp.InFlight(), now)
 	switch ver, wait := tbl.wsp.Enter(now); ver {
 	case limit.TooFast:
-		return nil, outcm.Refuse(outcm.WorkspaceRate, max(wait, retry.Spread(busyRetry)), "the workspace's requests_per_second is used up")
+		return nil, outcm.Refuse(outcm.WorkspaceRate, max(wait, retry.Jittered(busyRetry)), "the workspace's requests_per_second is used up")
 	case limit.TooMany:
-		return nil, outcm.Refuse(outcm.WorkspaceBusy, retry.Spread(busyRetry), "the workspace's in_flight is used up at this instance")
+		return nil, outcm.Refuse(outcm.WorkspaceBusy, retry.Jittered(busyRetry), "the workspace's in_flight is used up at this instance")
 	}
 	lft.inFlight++
 	lft.ctl.SetLoad(int64(lft.inFlight))
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,5 @@
 // Package fleet runs instances in fake time, as far as they tell one another who there is and what
-// facts they have learned: lists of members (package member) and facts (package rumor), over links
+// facts they have learned: lists of members (package member) and facts (package gossip), over links
 // that lose messages. It is help for tests of what a system decides at a given size.
 package fleet
 
@@ -9,9 +9,9 @@
 	"slices"
 
 	"amaranthvalve/pkg/clock"
+	"amaranthvalve/pkg/gossip"
 	"amaranthvalve/pkg/ident"
 	"amaranthvalve/pkg/member"
-	"amaranthvalve/pkg/rumor"
 )
 
 const (
@@ -35,7 +35,7 @@
 type Instance struct {
 	who    ident.Incarnation
 	list   *member.List
-	spread rumor.Spread
+	spread gossip.Spread
 	cut    bool
 	calm   clock.Milli
 	sent   int
@@ -48,7 +48,7 @@
 func (ins *Instance) List() *member.List { return ins.list }
 
 // Spread has the facts that it knows.
-func (ins *Instance) Spread() *rumor.Spread { return &ins.spread }
+func (ins *Instance) Spread() *gossip.Spread { return &ins.spread }
 
 // Sent counts the messages that it sent.
 func (ins *Instance) Sent() int { return ins.sent }
@@ -165,7 +165,7 @@
 	type message struct {
 		from  *Instance
 		to    ident.Incarnation
-		facts []rumor.Fact
+		facts []gossip.Fact
 	}
 	var all []message
 	for _, ins := range flt.insts {
@@ -177,7 +177,7 @@
 	}
 	for _, msg := range all {
 		if to := flt.byWho[msg.to]; flt.Reaches(msg.from, to) {
-			to.spread.Told(msg.facts, to.list.IsMesh(), flt.now)
+			to.spread.Receive(msg.facts, to.list.IsMesh(), flt.now)
 		}
 	}
 }
@@ -194,14 +194,14 @@
 		return
 	}
 	oth.list.Learn(ins.list.Gossip(oth.who), flt.now)
-	answer, digest := oth.spread.Missing(ins.spread.Digest(), flt.now), oth.spread.Digest()
+	answer, digest := oth.spread.Delta(ins.spread.Digest(), flt.now), oth.spread.Digest()
 	if !flt.Reaches(oth, ins) {
 		return
 	}
 	ins.list.Learn(oth.list.Gossip(ins.who), flt.now)
 	ins.list.Ack(oth.who, flt.now)
-	ins.spread.Told(answer, ins.list.IsMesh(), flt.now)
-	if more := ins.spread.Missing(digest, flt.now); len(more) > 0 && flt.Reaches(ins, oth) {
-		oth.spread.Told(more, oth.list.IsMesh(), flt.now)
+	ins.spread.Receive(answer, ins.list.IsMesh(), flt.now)
+	if more := ins.spread.Delta(digest, flt.now); len(more) > 0 && flt.Reaches(ins, oth) {
+		oth.spread.Receive(more, oth.list.IsMesh(), flt.now)
 	}
 }
--- a/internal/front/crash.go
+++ b/internal/front/crash.go
@@ -7,7 +7,7 @@
 	"strings"
 
 	"amaranthvalve/internal/chain"
-	"amaranthvalve/internal/homes"
+	"amaranthvalve/internal/coord"
 	"amaranthvalve/internal/relay"
 	"amaranthvalve/pkg/ident"
 	"amaranthvalve/pkg/outcm"
@@ -19,21 +19,21 @@
 
 // fingerprint identifies the request by the parts that stay the same when its caller sends it
 // again.
-func (cl *call) fingerprint() poison.Mark {
-	cl.fprintOnce.Do(func() { cl.fprint = poison.MarkOf(cl.http.Host, cl.http.RequestURI, cl.wsp, cl.req.Body) })
+func (cl *call) fingerprint() poison.Fingerprint {
+	cl.fprintOnce.Do(func() { cl.fprint = poison.FingerprintOf(cl.http.Host, cl.http.RequestURI, cl.wsp, cl.req.Body) })
 	return cl.fprint
 }
 
 // checkCrash probes an endpoint that has cut the connection of an attempt. If the endpoint has
 // crashed, and not only closed the connection, the request is recorded as a suspect at all
 // instances.
-func (fr *Front) checkCrash(cl *call, tgt homes.Seat) {
+func (fr *Front) checkCrash(cl *call, tgt coord.Placement) {
 	mrk, leaving := cl.fingerprint(), fr.set.Control.View().IsLeaving(tgt.ID)
 	go func() {
-		ended := relay.Ended(context.Background(), tgt.Addr)
+		ended := relay.ProcessEnded(context.Background(), tgt.Addr)
 		switch counts := ended && !leaving; {
 		case counts && !cl.trial:
-			fr.set.Control.EndedUnder(mrk, tgt.ID)
+			fr.set.Control.RecordCrash(mrk, tgt.ID)
 		case !counts && cl.trial:
 			fr.set.Control.CancelTrial(mrk, cl.attemptName())
 		}
@@ -43,12 +43,12 @@
 }
 
 // crashesUnder returns the crashes of endpoints recorded for a request.
-func (fr *Front) crashesUnder(cl *call) []poison.End {
+func (fr *Front) crashesUnder(cl *call) []poison.Crash {
 	sus := fr.set.Control.View().Suspects()
 	if sus.Empty() {
 		return nil
 	}
-	return sus.Ends(cl.fingerprint())
+	return sus.Crashes(cl.fingerprint())
 }
 
 // clearSuspicion clears a request that an endpoint has run to completion. A failure status proves
@@ -56,7 +56,7 @@
 // delimited by the end of its connection: a crash of the endpoint ends it in the same way.
 func (fr *Front) clearSuspicion(cl *call, rsp *relay.Response) {
 	if rsp.Framed && rsp.Status < http.StatusInternalServerError && len(fr.crashesUnder(cl)) > 0 {
-		fr.set.Control.RanWhole(cl.fingerprint())
+		fr.set.Control.RecordCompletion(cl.fingerprint())
 	}
 }
 
--- a/internal/front/drain.go
+++ b/internal/front/drain.go
@@ -8,10 +8,10 @@
 	"amaranthvalve/pkg/outcm"
 )
 
-// Leave begins a planned shutdown, in which requests are answered until end. From now on each
+// BeginShutdown begins a planned shutdown, in which requests are answered until end. From now on each
 // response asks the caller to close its connection, and requests that may last beyond end are
 // refused.
-func (fr *Front) Leave(end clock.Milli) { fr.stopEnd.Store(int64(end)) }
+func (fr *Front) BeginShutdown(end clock.Milli) { fr.stopEnd.Store(int64(end)) }
 
 // stopping reports whether a planned shutdown is in progress, and when it ends.
 func (fr *Front) stopping() (end clock.Milli, is bool) {
--- a/internal/front/final.go
+++ b/internal/front/final.go
@@ -7,9 +7,9 @@
 	"net/http"
 	"time"
 
-	"amaranthvalve/internal/homes"
+	"amaranthvalve/internal/coord"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/internal/relay"
-	"amaranthvalve/internal/talk"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/ending"
 	"amaranthvalve/pkg/outcm"
@@ -46,8 +46,8 @@
 	if fr.isQuarantined(cl) {
 		return fr.refuseQuarantined(cl)
 	}
-	fr.pools.Sent(cl.pool.Name())
-	run := &finalRun{fr: fr, cl: cl, lastEvent: cl.ask.After}
+	fr.pools.CountAttempt(cl.pool.Name())
+	run := &finalRun{fr: fr, cl: cl, lastEvent: cl.ask.LastEvent}
 	if !cl.route.Resumable() {
 		run.lastEvent = ""
 	}
@@ -82,7 +82,7 @@
 	// repeatPaid is set when the attempt was canceled for being slow and the next one is paid for
 	// from the retry budget; nextPlacement is where that one goes.
 	repeatPaid    bool
-	nextPlacement *homes.Seat
+	nextPlacement *coord.Placement
 	// lastEvent is the ID of the last stream event that the caller has received.
 	lastEvent string
 	// prev is the result of the previous attempt; fallback is a complete failure response of an
@@ -99,7 +99,7 @@
 
 // findPlacement places the attempt at an endpoint; at a full pool it polls for a free slot for a
 // bounded time.
-func (run *finalRun) findPlacement(ctx context.Context) (homes.Seat, outcm.Result) {
+func (run *finalRun) findPlacement(ctx context.Context) (coord.Placement, outcm.Result) {
 	fr, cl := run.fr, run.cl
 	if next := run.nextPlacement; next != nil {
 		run.nextPlacement = nil
@@ -109,11 +109,11 @@
 	for {
 		ask := cl.placeAsk(run.avoid)
 		ask.Zone, ask.Bytes = cl.inputZone()
-		if tgt, ok := fr.homes.Place(ctx, fr.set.Control.View(), cl.pool.Name(), cl.ticket(), ask); ok {
+		if tgt, ok := fr.coord.Place(ctx, fr.set.Control.View(), cl.pool.Name(), cl.ticket(), ask); ok {
 			return tgt, outcm.Result{}
 		}
 		if len(run.avoid) > 0 || ctx.Err() != nil || fr.set.Clock.Now() >= until {
-			return homes.Seat{}, outcm.Refuse(outcm.QueueFull, fr.retryAfter(minRetryAfter), "all endpoints are full")
+			return coord.Placement{}, outcm.Refuse(outcm.QueueFull, fr.retryAfter(minRetryAfter), "all endpoints are full")
 		}
 		select {
 		case <-time.After(slotPollInterval):
@@ -123,20 +123,20 @@
 }
 
 // release frees the slot of an attempt and records how the attempt ended.
-func (run *finalRun) release(tgt homes.Seat, ver route.Verdict, took clock.Milli) {
+func (run *finalRun) release(tgt coord.Placement, ver route.Outcome, took clock.Milli) {
 	fr, cl := run.fr, run.cl
 	if tgt.Ticket == "" {
 		fr.pools.Finish(cl.pool.Name(), tgt.ID, ver, took)
 		return
 	}
-	end := place.Ill
+	end := place.Failed
 	switch ver {
-	case route.Good:
-		end = place.Well
-	case route.Neutral:
-		end = place.Untold
+	case route.Success:
+		end = place.Succeeded
+	case route.Cancelled:
+		end = place.Neutral
 	}
-	fr.homes.End(cl.pool.Name(), tgt, end, cl.maxPause)
+	fr.coord.RecordEnd(cl.pool.Name(), tgt, end, cl.maxPause)
 }
 
 // finalResult returns the result of a request for which no further endpoint was found.
@@ -155,7 +155,7 @@
 
 // attempt sends the request once. It reports whether another endpoint may be tried; the result is
 // then what the caller gets if there is none.
-func (run *finalRun) attempt(ctx context.Context, tgt homes.Seat) (outcm.Result, bool) {
+func (run *finalRun) attempt(ctx context.Context, tgt coord.Placement) (outcm.Result, bool) {
 	fr, cl := run.fr, run.cl
 	cl.attempts++
 	cl.endpoint = string(tgt.ID)
@@ -169,8 +169,8 @@
 	rqs.Allowed = func() bool { return fr.tokenValid(cl) && !fr.isQuarantined(cl) }
 	var cgd cancelGuard
 	timer := run.cancelIfSlow(actx, &cgd, cancel)
-	rsp, end := fr.set.Relay.Do(actx, tgt.Addr, rqs, talk.Send{
-		Endpoint: tgt.ID, Workspace: cl.wsp, Left: cl.deadline - began, Priority: cl.rank, Inputs: cl.inputs, Fetch: tgt.From, After: run.lastEvent,
+	rsp, end := fr.set.Relay.Do(actx, tgt.Addr, rqs, proto.SendMeta{
+		Endpoint: tgt.ID, Workspace: cl.wsp, Left: cl.deadline - began, Priority: cl.rank, Inputs: cl.inputs, Fetch: tgt.FetchFrom, LastEvent: run.lastEvent,
 	})
 	timer.Stop()
 	slow := cgd.settle()
@@ -183,15 +183,15 @@
 	}
 	if rsp != nil {
 		defer func() { _ = rsp.Body.Close() }()
-		fr.pools.Said(cl.pool.Name(), tgt.ID, rsp.Reply)
+		fr.pools.ReportLoad(cl.pool.Name(), tgt.ID, rsp.Reply)
 	}
 	if slow && end == ending.Answered {
 		// The attempt was canceled just as the response began.
 		end = ending.GaveUp
 	}
 	if end == ending.Answered {
-		fr.pools.Began(cl.route.Name(), took)
-		fr.homes.First(cl.pool.Name(), tgt, took)
+		fr.pools.RecordFirstByte(cl.route.Name(), took)
+		fr.coord.FirstEvent(cl.pool.Name(), tgt, took)
 		cl.firstByte = took
 		return run.forward(ctx, tgt, rsp, began)
 	}
@@ -202,7 +202,7 @@
 	fr.set.Log.Info().Str("request", cl.ask.ID).Str("endpoint", string(tgt.ID)).Str("pool", cl.pool.Name()).Int("attempt", cl.attempts).
 		Str("ending", end.String()).Bool("outlasted", slow).Int64("took_ms", int64(took)).Msg("attempt failed")
 	if rsp != nil && rsp.Reply.Misdirected {
-		fr.set.Control.Left(tgt.ID, "another endpoint answers at its address")
+		fr.set.Control.EndpointLeaving(tgt.ID, "another endpoint answers at its address")
 	}
 	return run.afterFailure(ctx, end)
 }
@@ -216,13 +216,13 @@
 // would be idle. An engine without a free slot fetches later, and would find nothing; it then
 // confirms that it ran nothing, and the caller has to retry. So the hook is left out for an engine
 // that last reported no free slot.
-func (fr *Front) withInputRelease(cl *call, tgt homes.Seat) (relay.Request, func()) {
+func (fr *Front) withInputRelease(cl *call, tgt coord.Placement) (relay.Request, func()) {
 	rqs := cl.req
 	if len(cl.inputs) == 0 || tgt.Full {
 		return rqs, func() {}
 	}
 	ended := make(chan struct{})
-	rqs.Written = func() {
+	rqs.OnWritten = func() {
 		go func() {
 			select {
 			case <-time.After(fetchGrace):
@@ -258,7 +258,7 @@
 		return refuseUnconfirmed(), false
 	case !fr.tokenValid(cl) || fr.isQuarantined(cl) || cl.trial && run.mayHaveRun > 0:
 		return res, false
-	case end.Sent() && !run.repeatPaid && !fr.pools.Repeat(cl.pool.Name(), fr.set.Control.View()):
+	case end.Sent() && !run.repeatPaid && !fr.pools.TakeRetry(cl.pool.Name(), fr.set.Control.View()):
 		return res, false
 	}
 	fr.set.Meter.Retried(end.Cause())
@@ -284,7 +284,7 @@
 }
 
 // forward sends an endpoint's response on to the caller.
-func (run *finalRun) forward(ctx context.Context, tgt homes.Seat, rsp *relay.Response, began clock.Milli) (outcm.Result, bool) {
+func (run *finalRun) forward(ctx context.Context, tgt coord.Placement, rsp *relay.Response, began clock.Milli) (outcm.Result, bool) {
 	fr, cl := run.fr, run.cl
 	if cl.route.Streams() && rsp.Status == http.StatusOK {
 		// The engine has fetched the inputs. Without them a broken stream can't be resumed at
@@ -299,7 +299,7 @@
 	case err != nil:
 		return run.bodyFailed(ctx, tgt, took)
 	case len(body) > maxBufferedBody:
-		run.release(tgt, route.Good, took)
+		run.release(tgt, route.Success, took)
 		return run.forwardLarge(rsp, body)
 	}
 	fr.clearSuspicion(cl, rsp)
@@ -321,7 +321,7 @@
 }
 
 // bodyFailed ends an attempt whose response body broke off.
-func (run *finalRun) bodyFailed(ctx context.Context, tgt homes.Seat, took clock.Milli) (outcm.Result, bool) {
+func (run *finalRun) bodyFailed(ctx context.Context, tgt coord.Placement, took clock.Milli) (outcm.Result, bool) {
 	end := ending.Broken(ctx)
 	run.release(tgt, end.Verdict(false), took)
 	if end == ending.Cut {
@@ -353,26 +353,26 @@
 	}
 }
 
-func statusVerdict(status int) route.Verdict {
+func statusVerdict(status int) route.Outcome {
 	if status >= http.StatusInternalServerError {
-		return route.Broken
+		return route.Failure
 	}
-	return route.Good
+	return route.Success
 }
 
 // forwardStream forwards the events of a stream as they arrive. A stream that broke off is resumed
 // at another endpoint after the last complete event, if the route allows that; the caller keeps the
 // header of the first response.
-func (run *finalRun) forwardStream(ctx context.Context, tgt homes.Seat, rsp *relay.Response, began clock.Milli) (outcm.Result, bool) {
+func (run *finalRun) forwardStream(ctx context.Context, tgt coord.Placement, rsp *relay.Response, began clock.Milli) (outcm.Result, bool) {
 	fr, cl := run.fr, run.cl
 	if !cl.out.headSent {
 		cl.out.writeHead(rsp, -1)
 		if cl.out.ctl.Flush() != nil {
-			run.release(tgt, route.Neutral, 0)
+			run.release(tgt, route.Cancelled, 0)
 			return outcm.New(outcm.Unknown, outcm.CallerGone, "the caller disconnected"), false
 		}
 	}
-	evs := relay.NewEvents(rsp.Body)
+	evs := relay.NewEventReader(rsp.Body)
 	last := fr.set.Clock.Now()
 	for {
 		event, err := evs.Next()
@@ -380,14 +380,14 @@
 		cl.maxPause, last = max(cl.maxPause, now-last), now
 		if errors.Is(err, io.EOF) {
 			fr.clearSuspicion(cl, rsp)
-			run.release(tgt, route.Good, fr.set.Clock.Since(began))
+			run.release(tgt, route.Success, fr.set.Clock.Since(began))
 			return outcm.OK(), false
 		}
 		if err != nil {
 			break
 		}
 		if cl.out.write(event) != nil {
-			run.release(tgt, route.Neutral, 0)
+			run.release(tgt, route.Cancelled, 0)
 			return outcm.New(outcm.Unknown, outcm.CallerGone, "the caller disconnected"), false
 		}
 		if name, ok := fr.set.Dialect.EventName(event); ok {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -10,13 +10,13 @@
 	"github.com/rs/zerolog"
 
 	"amaranthvalve/internal/chain"
-	"amaranthvalve/internal/homes"
+	"amaranthvalve/internal/coord"
 	"amaranthvalve/internal/meter"
 	"amaranthvalve/internal/pools"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/internal/relay"
 	"amaranthvalve/internal/serve"
 	"amaranthvalve/internal/state"
-	"amaranthvalve/internal/talk"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/outcm"
 	"amaranthvalve/pkg/place"
@@ -26,14 +26,14 @@
 
 // Setup holds the dependencies and settings of a [Front].
 type Setup struct {
-	Control *state.Control
-	Dialect *talk.Dialect
-	Relay   *relay.Relay
-	Pools   *pools.Pools
-	Homes   *homes.Homes
-	Clock   clock.Clock
-	Meter   *meter.Meter
-	Log     zerolog.Logger
+	Control     *state.Control
+	Dialect     *proto.Dialect
+	Relay       *relay.Relay
+	Pools       *pools.Pools
+	Coordinator *coord.Coordinator
+	Clock       clock.Clock
+	Meter       *meter.Meter
+	Log         zerolog.Logger
 	// TokensFor is the maximum age of a view whose tokens are accepted.
 	TokensFor clock.Milli
 }
@@ -42,7 +42,7 @@
 type Front struct {
 	set      Setup
 	pools    *pools.Pools
-	homes    *homes.Homes
+	coord    *coord.Coordinator
 	head     chain.Next[*call]
 	inFlight atomic.Int64
 	// stopEnd is the time at which a planned shutdown ends, zero if there is none.
@@ -53,18 +53,18 @@
 
 // New returns a front with its filters linked in order.
 func New(set Setup) *Front {
-	fr := &Front{set: set, pools: set.Pools, homes: set.Homes}
+	fr := &Front{set: set, pools: set.Pools, coord: set.Coordinator}
 	fr.head = chain.Link(fr.final, fr.match, fr.drain, fr.identify, fr.quarantine, fr.admit, fr.stages)
 	return fr
 }
 
-// Under returns the number of requests in flight.
-func (fr *Front) Under() int64 { return fr.inFlight.Load() }
+// InFlight returns the number of requests in flight.
+func (fr *Front) InFlight() int64 { return fr.inFlight.Load() }
 
 // call is the state of one request as it passes the filters.
 type call struct {
 	view    *state.View
-	ask     talk.Ask
+	ask     proto.RequestMeta
 	req     relay.Request
 	http    *http.Request
 	route   *plan.Route
@@ -88,7 +88,7 @@
 	// fprint is the request's fingerprint, computed on first use: hashing a long body takes a
 	// while, and most requests need none.
 	fprintOnce sync.Once
-	fprint     poison.Mark
+	fprint     poison.Fingerprint
 	// trial is set when the request is admitted after its quarantine; it gets a single attempt.
 	trial bool
 	// Fields of the log line at the end of the request.
@@ -105,7 +105,7 @@
 // ServeHTTP serves one request.
 func (fr *Front) ServeHTTP(wrt http.ResponseWriter, req *http.Request) {
 	cl := &call{http: req, arrived: fr.set.Clock.Now()}
-	cl.view = fr.set.Control.Whole(req.Context())
+	cl.view = fr.set.Control.WaitServable(req.Context())
 	cl.viewAge = cl.view.Age(cl.arrived)
 	cl.out = newOutput(fr, wrt)
 	fr.set.Control.SetLoad(fr.inFlight.Add(1))
@@ -155,5 +155,5 @@
 	if cl.ask.Prompt == nil {
 		return 0
 	}
-	return cl.ask.Prompt.In
+	return cl.ask.Prompt.InTokens
 }
--- a/internal/front/match.go
+++ b/internal/front/match.go
@@ -70,7 +70,7 @@
 	}
 	cl.deadline = cl.arrived + span
 	cl.due = cl.deadline
-	if goal := cl.route.Goal(); goal > 0 {
+	if goal := cl.route.TargetLatency(); goal > 0 {
 		cl.due = min(cl.deadline, cl.arrived+goal)
 	}
 	cl.rank = cl.view.Plan().Rank(cl.route, nil)
@@ -152,7 +152,7 @@
 // enough: a revoked token must not run anything anywhere, also not on an instance that has
 // received no update since.
 func (fr *Front) identify(ctx context.Context, cl *call, nxt chain.Next[*call]) outcm.Result {
-	if cl.route.Open() || !cl.view.Plan().Named() {
+	if cl.route.Open() || !cl.view.Plan().RequiresToken() {
 		return nxt(ctx, cl)
 	}
 	wsp, ok := cl.view.Plan().Workspace(cl.ask.Token)
--- a/internal/front/results.go
+++ b/internal/front/results.go
@@ -40,8 +40,8 @@
 		if !slices.Contains(cl.route.Graph().After(stg), srs.stage) {
 			continue
 		}
-		if spc := cl.batchSpec(srs.stage); spc != nil && spc.Keep > 0 {
-			first = min(first, srs.madeAt+spc.Keep)
+		if spc := cl.batchSpec(srs.stage); spc != nil && spc.ResultTTL > 0 {
+			first = min(first, srs.madeAt+spc.ResultTTL)
 		}
 	}
 	return first
@@ -123,11 +123,11 @@
 }
 
 // lots lists the results of stages with the coordinators that had them made.
-func (cl *call) lots(stages []int) []batch.Lot {
-	var lots []batch.Lot
+func (cl *call) lots(stages []int) []batch.ResultSet {
+	var lots []batch.ResultSet
 	for _, srs := range cl.results {
 		if slices.Contains(stages, srs.stage) {
-			lots = append(lots, batch.Lot{Home: srs.coordinator, Freed: batch.Freed{Pool: srs.pool, Results: srs.handles}})
+			lots = append(lots, batch.ResultSet{Coordinator: srs.coordinator, Release: batch.ReleaseRequest{Pool: srs.pool, Results: srs.handles}})
 		}
 	}
 	return lots
@@ -145,7 +145,7 @@
 func (cl *call) releasedEarly(stages []int) []int {
 	return slices.DeleteFunc(slices.Clone(stages), func(stg int) bool {
 		spc := cl.batchSpec(stg)
-		return spc != nil && float64(cl.resultBytes([]int{stg})) < earlyReleaseShare*float64(spc.Room)
+		return spc != nil && float64(cl.resultBytes([]int{stg})) < earlyReleaseShare*float64(spc.ResultBytes)
 	})
 }
 
@@ -169,7 +169,7 @@
 		if stg != allStages && srs.stage != stg {
 			return false
 		}
-		fr.homes.Free(srs.coordinator, batch.Freed{Pool: srs.pool, Results: srs.handles})
+		fr.coord.Release(srs.coordinator, batch.ReleaseRequest{Pool: srs.pool, Results: srs.handles})
 		return true
 	})
 }
--- a/internal/front/results_test.go
+++ b/internal/front/results_test.go
@@ -15,12 +15,12 @@
 func chainedCall(t *testing.T) *call {
 	pln, faults := plan.Compile(plan.Draft{
 		Pools: []plan.DraftPool{
-			{Name: "encode", Batch: &plan.DraftBatch{Places: 1, Most: 12, Call: 240, Item: 17, Room: 14_000_000}},
-			{Name: "search", Batch: &plan.DraftBatch{Places: 1, Most: 34, Call: 240, Item: 6, Room: 3_700_000}},
+			{Name: "encode", Batch: &plan.DraftBatch{Slots: 1, MaxItems: 12, Call: 240, Item: 17, ResultBytes: 14_000_000}},
+			{Name: "search", Batch: &plan.DraftBatch{Slots: 1, MaxItems: 34, Call: 240, Item: 6, ResultBytes: 3_700_000}},
 			{Name: "model", Engine: &plan.DraftEngine{Places: 48}},
 		},
 		Routes: []plan.DraftRoute{{
-			Name: "ask", Host: "h", Prefix: "/", Kind: "streaming", Goal: 2300, Timeout: 20000,
+			Name: "ask", Host: "h", Prefix: "/", Kind: "streaming", TargetLatency: 2300, Timeout: 20000,
 			Targets: []plan.DraftTarget{{Pool: "model", Weight: 1}},
 			Stages: []plan.DraftStage{
 				{Pool: "encode", Bytes: 8000}, {Pool: "search", After: []int{0}, Bytes: 60000}, {Pool: "search", After: []int{1}, Bytes: 60},
--- a/internal/front/slow.go
+++ b/internal/front/slow.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"amaranthvalve/internal/homes"
+	"amaranthvalve/internal/coord"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/place"
 	"amaranthvalve/pkg/route"
@@ -31,7 +31,7 @@
 	if !cl.route.Repeatable() || run.mayHaveRun+1 >= cl.route.Attempts() || len(cl.inputs) > 0 || cl.trial {
 		return time.NewTimer(maxRequestTime.Duration())
 	}
-	bound := fr.firstByteTimes.upperBound(cl.route.Name(), cl.route.Goal(), fr.set.Clock.Now())
+	bound := fr.firstByteTimes.upperBound(cl.route.Name(), cl.route.TargetLatency(), fr.set.Clock.Now())
 	ticket, ask := cl.ticket(), cl.placeAsk(slices.Clone(run.avoid))
 	return time.AfterFunc(max(minSlowDelay, slowFactor*bound).Duration(), func() {
 		next, ok := run.reserveNext(ctx, ticket, ask)
@@ -39,7 +39,7 @@
 			return
 		}
 		moved := cgd.cancelPending(func() bool {
-			if !run.maySend() || !fr.pools.Repeat(cl.pool.Name(), fr.set.Control.View()) {
+			if !run.maySend() || !fr.pools.TakeRetry(cl.pool.Name(), fr.set.Control.View()) {
 				return false
 			}
 			run.nextPlacement = &next
@@ -57,29 +57,29 @@
 }
 
 // reserveNext waits for a placement of the next attempt while the current one is in flight.
-func (run *finalRun) reserveNext(ctx context.Context, ticket string, ask place.Ask) (homes.Seat, bool) {
+func (run *finalRun) reserveNext(ctx context.Context, ticket string, ask place.Ask) (coord.Placement, bool) {
 	fr := run.fr
 	for run.maySend() {
-		if next, ok := fr.homes.Place(ctx, fr.set.Control.View(), run.cl.pool.Name(), ticket, ask); ok {
+		if next, ok := fr.coord.Place(ctx, fr.set.Control.View(), run.cl.pool.Name(), ticket, ask); ok {
 			return next, true
 		}
 		select {
 		case <-time.After(minSlowDelay.Duration()):
 		case <-ctx.Done():
-			return homes.Seat{}, false
+			return coord.Placement{}, false
 		}
 	}
-	return homes.Seat{}, false
+	return coord.Placement{}, false
 }
 
 // releaseUnused frees the slot of a placement to which nothing was sent.
-func (run *finalRun) releaseUnused(seat homes.Seat) {
+func (run *finalRun) releaseUnused(seat coord.Placement) {
 	fr, pool := run.fr, run.cl.pool.Name()
 	if seat.Ticket == "" {
-		fr.pools.Finish(pool, seat.ID, route.Neutral, 0)
+		fr.pools.Finish(pool, seat.ID, route.Cancelled, 0)
 		return
 	}
-	fr.homes.End(pool, seat, place.Untold, 0)
+	fr.coord.RecordEnd(pool, seat, place.Neutral, 0)
 }
 
 // releaseNext frees the slot reserved for a next attempt that is not made.
--- a/internal/front/stages.go
+++ b/internal/front/stages.go
@@ -11,8 +11,8 @@
 
 	"amaranthvalve/internal/batch"
 	"amaranthvalve/internal/chain"
-	"amaranthvalve/internal/homes"
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/coord"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/internal/walk"
 	"amaranthvalve/pkg/admit"
 	"amaranthvalve/pkg/clock"
@@ -41,15 +41,15 @@
 
 // itemCount returns the number of items that a request has of a stage.
 func (cl *call) itemCount(stage int) int {
-	if stage >= len(cl.ask.Pieces) {
+	if stage >= len(cl.ask.Items) {
 		return 0
 	}
-	return cl.ask.Pieces[stage]
+	return cl.ask.Items[stage]
 }
 
 // placeAsk returns what the placement of the final call depends on.
 func (cl *call) placeAsk(avoid []string) place.Ask {
-	ask := place.Ask{Salt: cl.ask.ID, Avoid: avoid, Gap: cl.route.Gap()}
+	ask := place.Ask{Salt: cl.ask.ID, Avoid: avoid, MaxGap: cl.route.MaxEventGap()}
 	if cl.ask.Prompt != nil {
 		ask.Prompt = *cl.ask.Prompt
 	}
@@ -75,8 +75,8 @@
 	if spc == nil || n == 0 {
 		return 0
 	}
-	calls := (n + spc.Most - 1) / spc.Most
-	return clock.Milli(spc.Call + spc.Item*float64(min(n, spc.Most)) + spc.Call*float64(calls-1))
+	calls := (n + spc.MaxItems - 1) / spc.MaxItems
+	return clock.Milli(spc.Call + spc.Item*float64(min(n, spc.MaxItems)) + spc.Call*float64(calls-1))
 }
 
 // admit chooses the final pool, and refuses at once requests that can't be answered before their
@@ -88,20 +88,20 @@
 	name := cl.route.Target(rand.Float64())
 	pol, ok := cl.view.Plan().Pool(name)
 	if !ok || !fr.pools.Usable(name) {
-		return outcm.Refuse(outcm.NoEndpoint, retry.Spread(staleRetryAfter), "the pool has no usable endpoint")
+		return outcm.Refuse(outcm.NoEndpoint, retry.Jittered(staleRetryAfter), "the pool has no usable endpoint")
 	}
 	cl.pool = pol
-	if len(cl.ask.Pieces) > len(cl.route.Stages()) || slices.Max(append(slices.Clone(cl.ask.Pieces), 0)) > homes.MaxPieces {
+	if len(cl.ask.Items) > len(cl.route.Stages()) || slices.Max(append(slices.Clone(cl.ask.Items), 0)) > coord.MaxItems {
 		return outcm.New(outcm.NotRun, outcm.BadRequest, "pieces for more stages than the route has, or too many pieces of a stage")
 	}
 	fr.estimateWait(ctx, cl)
 	now := fr.set.Clock.Now()
-	tms := admit.Times{Need: fr.firstByteEstimate(cl), Left: cl.deadline - now, InTime: cl.due - now, Crowded: fr.contended(cl)}
+	tms := admit.Budget{Estimate: fr.firstByteEstimate(cl), ToDeadline: cl.deadline - now, ToTarget: cl.due - now, Contended: fr.contended(cl)}
 	switch tms.Judge() {
 	case admit.Hopeless:
-		return outcm.Refuse(outcm.Hopeless, fr.retryAfter(tms.Over()), fmt.Sprintf("%d ms are needed and %d left", tms.Need, tms.Left))
-	case admit.LateInCrowd:
-		return outcm.Refuse(outcm.Crowded, fr.retryAfter(tms.Over()), fmt.Sprintf("%d ms are needed and %d left to be in time", tms.Need, tms.InTime))
+		return outcm.Refuse(outcm.Hopeless, fr.retryAfter(tms.Excess()), fmt.Sprintf("%d ms are needed and %d left", tms.Estimate, tms.ToDeadline))
+	case admit.ShedLate:
+		return outcm.Refuse(outcm.Crowded, fr.retryAfter(tms.Excess()), fmt.Sprintf("%d ms are needed and %d left to be in time", tms.Estimate, tms.ToTarget))
 	}
 	return nxt(ctx, cl)
 }
@@ -113,7 +113,7 @@
 	if len(pools) == 0 {
 		return
 	}
-	cl.sinceFirst = fr.homes.Ask(ctx, cl.view, cl.retryKey(), pools)
+	cl.sinceFirst = fr.coord.QueryWaits(ctx, cl.view, cl.retryKey(), pools)
 	cl.due -= cl.sinceFirst
 }
 
@@ -132,7 +132,7 @@
 // the attempt and the time left differ then.
 func (cl *call) retryKey() uint64 {
 	mrk := cl.fingerprint()
-	return xxhash.Sum64String(string(mrk[:]) + cl.http.Method + "\x00" + cl.ask.PieceKey)
+	return xxhash.Sum64String(string(mrk[:]) + cl.http.Method + "\x00" + cl.ask.ItemKey)
 }
 
 // firstByteEstimate estimates the time of a request from now to its first byte.
@@ -148,21 +148,21 @@
 	if cl.itemCount(stg) == 0 {
 		return 0
 	}
-	return fr.homes.Wait(cl.route.Stages()[stg].Pool) + cl.serviceTime(stg)
+	return fr.coord.EstimateWait(cl.route.Stages()[stg].Pool) + cl.serviceTime(stg)
 }
 
 // retryAfter returns a retry-after delay with jitter, so that callers refused together don't
 // return together.
 func (fr *Front) retryAfter(span clock.Milli) clock.Milli {
-	return retry.Spread(min(max(span, minRetryAfter), maxRetryAfter))
+	return retry.Jittered(min(max(span, minRetryAfter), maxRetryAfter))
 }
 
 // stages runs the stages that make the inputs of the final call.
 func (fr *Front) stages(ctx context.Context, cl *call, nxt chain.Next[*call]) outcm.Result {
-	if len(cl.route.Stages()) == 0 || len(cl.ask.Pieces) == 0 {
+	if len(cl.route.Stages()) == 0 || len(cl.ask.Items) == 0 {
 		return nxt(ctx, cl)
 	}
-	if eng, _, ok := fr.homes.Aim(ctx, cl.view, cl.pool.Name(), cl.placeAsk(nil)); ok {
+	if eng, _, ok := fr.coord.Predict(ctx, cl.view, cl.pool.Name(), cl.placeAsk(nil)); ok {
 		cl.engine = eng
 	}
 	began := fr.set.Clock.Now()
@@ -182,15 +182,15 @@
 	walk.All(ctx, run, walk.Steps[stageOut]{
 		Span: func(stg int) clock.Milli { return fr.stageEstimate(cl, stg) },
 		Begin: func(stg int) func(context.Context) stageOut {
-			jb := fr.job(cl, stg, cl.releasedEarly(run.Last(stg)))
+			jb := fr.job(cl, stg, cl.releasedEarly(run.LastInputs(stg)))
 			return func(ctx context.Context) stageOut { return fr.runStage(ctx, cl, jb) }
 		},
 		Ended: func(stg int, out stageOut) walk.Word {
 			cl.dropResults(out.released)
 			switch {
-			case out.flaw == talk.InputGone && fr.recompute(cl, run, stg):
+			case out.flaw == proto.InputLost && fr.recompute(cl, run, stg):
 				return walk.Undone
-			case out.flaw != talk.NoFlaw:
+			case out.flaw != proto.NoFailure:
 				refusal = fr.refuseStage(cl, out)
 				return walk.Failed
 			}
@@ -218,7 +218,7 @@
 		return false
 	}
 	cl.recomputes++
-	lost := run.Undo(stg, cl.hasResultsOf)
+	lost := run.Reset(stg, cl.hasResultsOf)
 	cl.recomputed = append(lost, stg)
 	for _, pre := range lost {
 		fr.releaseResults(cl, pre)
@@ -231,7 +231,7 @@
 
 // addResults records the results of a stage, which are released later.
 func (cl *call) addResults(out stageOut) {
-	if out.flaw == talk.NoFlaw {
+	if out.flaw == proto.NoFailure {
 		cl.mtx.Lock()
 		defer cl.mtx.Unlock()
 		cl.results = append(cl.results, out.results)
@@ -254,17 +254,17 @@
 	raw := cl.route.Stages()[stg]
 	ord := batch.Order{
 		Pool: raw.Pool, Request: cl.ask.ID, Stage: stg, Count: cl.itemCount(stg), Bytes: raw.Bytes, Rank: cl.rank, Zone: cl.preferredZone(stg),
-		Last: cl.lots(last), Again: slices.Contains(cl.recomputed, stg), Alone: len(fr.crashesUnder(cl)) > 0,
+		LastInputs: cl.lots(last), Recompute: slices.Contains(cl.recomputed, stg), Exclusive: len(fr.crashesUnder(cl)) > 0,
 	}
 	if len(raw.After) == 0 {
-		ord.Key = cl.ask.PieceKey
+		ord.Key = cl.ask.ItemKey
 	} else {
 		ord.Inputs = cl.handleNames(raw.After)
 		ord.InputBytes = cl.resultBytes(raw.After)
 	}
 	after := fr.timeAfter(cl, stg)
 	jb := job{ord: ord, due: cl.due - after, deadline: min(cl.deadline-after, cl.inputsExpire(stg)), releases: last}
-	jb.ord.NearUntil = fr.zoneWait(cl, jb)
+	jb.ord.LocalUntil = fr.zoneWait(cl, jb)
 	return jb
 }
 
@@ -272,7 +272,7 @@
 type stageOut struct {
 	results stageResults
 	stage   int
-	flaw    talk.Flaw
+	flaw    proto.Failure
 	// released are the stages whose results were released when they had been fetched.
 	released []int
 }
@@ -280,23 +280,23 @@
 // runStage has the order of a stage filled.
 func (fr *Front) runStage(ctx context.Context, cl *call, jb job) stageOut {
 	began := fr.set.Clock.Now()
-	fld, home := fr.homes.Fill(ctx, jb.ord, func() (due, until clock.Milli) {
+	fld, home := fr.coord.Fill(ctx, jb.ord, func() (due, until clock.Milli) {
 		now := fr.set.Clock.Now()
 		return jb.due - now, jb.deadline - now
 	})
 	ended := fr.set.Clock.Now()
 	fr.logSlowStage(cl, jb.ord.Stage, home, ended-began, fld)
-	for _, id := range fld.Ended {
-		fr.set.Control.EndedUnder(cl.fingerprint(), id)
+	for _, id := range fld.Crashed {
+		fr.set.Control.RecordCrash(cl.fingerprint(), id)
 	}
-	out := stageOut{stage: jb.ord.Stage, flaw: fld.Flaw}
-	if fld.Fetched {
+	out := stageOut{stage: jb.ord.Stage, flaw: fld.Failure}
+	if fld.InputsReleased {
 		out.released = jb.releases
 	}
-	if out.flaw == talk.NoFlaw && len(fld.Results) != jb.ord.Count {
-		out.flaw = talk.Late
+	if out.flaw == proto.NoFailure && len(fld.Results) != jb.ord.Count {
+		out.flaw = proto.Late
 	}
-	if out.flaw == talk.NoFlaw {
+	if out.flaw == proto.NoFailure {
 		out.results = stageResults{pool: jb.ord.Pool, stage: jb.ord.Stage, handles: fld.Results, coordinator: home, madeAt: ended}
 	}
 	return out
@@ -304,7 +304,7 @@
 
 // timeAfter returns the planned time from a stage's end to the request's first byte.
 func (fr *Front) timeAfter(cl *call, stg int) clock.Milli {
-	ways := cl.route.Graph().Ways(cl.serviceTime)
+	ways := cl.route.Graph().PathTimes(cl.serviceTime)
 	return fr.pools.FirstByte(cl.route.Name()) + ways[stg] - cl.serviceTime(stg)
 }
 
@@ -315,7 +315,7 @@
 	if jb.ord.Zone == "" || slack <= 0 || fr.contended(cl) {
 		return 0
 	}
-	left := cl.route.Graph().Ways(func(int) clock.Milli { return 1 })[jb.ord.Stage]
+	left := cl.route.Graph().PathTimes(func(int) clock.Milli { return 1 })[jb.ord.Stage]
 	return slack / (2 * (left + 1))
 }
 
@@ -328,8 +328,8 @@
 		if spc == nil {
 			continue
 		}
-		full := spc.Call + spc.Item*float64(spc.Most)
-		if float64(fr.homes.Wait(stg.Pool)) > contendedShare*full {
+		full := spc.Call + spc.Item*float64(spc.MaxItems)
+		if float64(fr.coord.EstimateWait(stg.Pool)) > contendedShare*full {
 			return true
 		}
 	}
@@ -338,22 +338,22 @@
 
 // logSlowStage logs a stage that failed or took far longer than planned: these stages make requests
 // late.
-func (fr *Front) logSlowStage(cl *call, stg int, home string, took clock.Milli, fld batch.Filled) {
-	if planned := cl.serviceTime(stg); fld.Flaw != talk.NoFlaw || took > slowStageFactor*planned {
+func (fr *Front) logSlowStage(cl *call, stg int, home string, took clock.Milli, fld batch.OrderResult) {
+	if planned := cl.serviceTime(stg); fld.Failure != proto.NoFailure || took > slowStageFactor*planned {
 		fr.set.Log.Info().Str("request", cl.ask.ID).Int("stage", stg).Str("pool", cl.route.Stages()[stg].Pool).
 			Int("pieces", cl.itemCount(stg)).Str("gatherer", home).Int64("took_ms", int64(took)).Int64("planned_ms", int64(planned)).
-			Str("flaw", fld.Flaw.String()).Int64("pool_wait_ms", int64(fld.Wait)).Msg("stage slow or failed")
+			Str("flaw", fld.Failure.String()).Int64("pool_wait_ms", int64(fld.Wait)).Msg("stage slow or failed")
 	}
 }
 
 // refuseStage returns the refusal for a stage that failed. Nothing with a side effect has run.
 func (fr *Front) refuseStage(cl *call, out stageOut) outcm.Result {
 	pool := cl.route.Stages()[out.stage].Pool
-	after := fr.retryAfter(fr.homes.Wait(pool))
+	after := fr.retryAfter(fr.coord.EstimateWait(pool))
 	switch {
 	case fr.set.Clock.Now() >= cl.deadline:
 		return outcm.Refuse(outcm.DeadlinePassed, after, fmt.Sprintf("stage %d did not finish before the deadline", out.stage))
-	case out.flaw == talk.Late:
+	case out.flaw == proto.Late:
 		return outcm.Refuse(outcm.Hopeless, after, fmt.Sprintf("stage %d can't finish in time", out.stage))
 	}
 	return outcm.Refuse(outcm.StageRefused, after, fmt.Sprintf("stage %d failed: %s", out.stage, out.flaw))
--- a/internal/front/times.go
+++ b/internal/front/times.go
@@ -14,7 +14,7 @@
 // routeTimes holds measured times by route. The zero value is empty.
 type routeTimes struct {
 	mtx     sync.Mutex
-	byRoute map[string]*admit.Need
+	byRoute map[string]*admit.Estimator
 }
 
 // sample records a measured time.
@@ -22,11 +22,11 @@
 	rts.mtx.Lock()
 	defer rts.mtx.Unlock()
 	if rts.byRoute == nil || len(rts.byRoute) >= maxTimedRoutes {
-		rts.byRoute = map[string]*admit.Need{}
+		rts.byRoute = map[string]*admit.Estimator{}
 	}
 	ned, ok := rts.byRoute[route]
 	if !ok {
-		ned = &admit.Need{}
+		ned = &admit.Estimator{}
 		rts.byRoute[route] = ned
 	}
 	ned.Sample(took, now)
@@ -38,7 +38,7 @@
 	rts.mtx.Lock()
 	defer rts.mtx.Unlock()
 	if ned, ok := rts.byRoute[route]; ok {
-		return ned.Careful(guess, now)
+		return ned.Upper(guess, now)
 	}
 	return guess
 }
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -21,7 +21,7 @@
 	indirectWait = 300 * time.Millisecond
 )
 
-// Group is the membership of one instance. Except for [Group.ProbeFor], its methods must be called
+// Group is the membership of one instance. Except for [Group.ProbeIndirect], its methods must be called
 // on the control loop.
 type Group struct {
 	Self ident.Incarnation
@@ -33,11 +33,11 @@
 	Go    func(work func(ctx context.Context))
 	// Now returns the current time, for the sending of a probe.
 	Now func() clock.Milli
-	// Dress adds piggybacked data to an outgoing message. Heard is called with each message that
+	// Attach adds piggybacked data to an outgoing message. Heard is called with each message that
 	// arrived, and with the instant at which the request that it answers was sent, zero for a
 	// message that is not an answer.
-	Dress func(msg *peer.Message)
-	Heard func(msg peer.Message, sent, now clock.Milli)
+	Attach    func(msg *peer.Message)
+	OnMessage func(msg peer.Message, sent, now clock.Milli)
 }
 
 // Tick sends the probes that are due.
@@ -47,8 +47,8 @@
 	}
 }
 
-// Doubt probes a member that did not answer a request.
-func (grp *Group) Doubt(who ident.Incarnation, now clock.Milli) {
+// Suspect probes a member that did not answer a request.
+func (grp *Group) Suspect(who ident.Incarnation, now clock.Milli) {
 	if act, ok := grp.List.Doubt(who, now); ok {
 		grp.execute(act)
 	}
@@ -61,7 +61,7 @@
 	msg := grp.Message(peer.Probe, act.Target)
 	to := act.Target
 	if act.Kind == member.SendIndirect {
-		msg.Kind, msg.Target, to = peer.Indirect, act.Target, act.Via
+		msg.Kind, msg.Target, to = peer.IndirectProbe, act.Target, act.Via
 		msg.To = act.Via
 	}
 	grp.Go(func(ctx context.Context) { grp.request(ctx, to, act.Target, msg) })
@@ -70,8 +70,8 @@
 // Message returns a message with the gossip for its receiver.
 func (grp *Group) Message(kind peer.Kind, to ident.Incarnation) peer.Message {
 	msg := peer.Message{Kind: kind, From: grp.Self, To: to, News: grp.List.Gossip(to)}
-	if grp.Dress != nil {
-		grp.Dress(&msg)
+	if grp.Attach != nil {
+		grp.Attach(&msg)
 	}
 	return msg
 }
@@ -81,12 +81,12 @@
 	ctx, cancel := context.WithTimeout(ctx, probeWait)
 	defer cancel()
 	sent := grp.Now()
-	ans, err := grp.Link.Ask(ctx, to.Addr(), msg)
+	ans, err := grp.Link.Call(ctx, to.Addr(), msg)
 	if err != nil {
 		return
 	}
 	grp.Offer(func(now clock.Milli) {
-		grp.Learn(ans, sent, now)
+		grp.Receive(ans, sent, now)
 		if ans.From != to {
 			// Another instance has this address now.
 			grp.List.Drop(to, now)
@@ -99,9 +99,9 @@
 	})
 }
 
-// Greet probes an address whose incarnation is not known, or an instance that was taken for dead
+// Probe probes an address whose incarnation is not known, or an instance that was taken for dead
 // and may have been cut off.
-func (grp *Group) Greet(addr string, who ident.Incarnation) {
+func (grp *Group) Probe(addr string, who ident.Incarnation) {
 	if grp.Link == nil {
 		return
 	}
@@ -110,12 +110,12 @@
 		ctx, cancel := context.WithTimeout(ctx, probeWait)
 		defer cancel()
 		sent := grp.Now()
-		ans, err := grp.Link.Ask(ctx, addr, msg)
+		ans, err := grp.Link.Call(ctx, addr, msg)
 		if err != nil {
 			return
 		}
 		grp.Offer(func(now clock.Milli) {
-			grp.Learn(ans, sent, now)
+			grp.Receive(ans, sent, now)
 			if who != "" && ans.From != who {
 				grp.List.Drop(who, now)
 			}
@@ -123,20 +123,20 @@
 	})
 }
 
-// Learn applies the contents of a message.
-func (grp *Group) Learn(msg peer.Message, sent, now clock.Milli) {
+// Receive applies the contents of a message.
+func (grp *Group) Receive(msg peer.Message, sent, now clock.Milli) {
 	grp.List.Learn(msg.News, now)
-	if grp.Heard != nil {
-		grp.Heard(msg, sent, now)
+	if grp.OnMessage != nil {
+		grp.OnMessage(msg, sent, now)
 	}
 }
 
-// ProbeFor probes a third instance on behalf of one that cannot reach it.
-func (grp *Group) ProbeFor(ctx context.Context, msg peer.Message) peer.Message {
+// ProbeIndirect probes a third instance on behalf of one that cannot reach it.
+func (grp *Group) ProbeIndirect(ctx context.Context, msg peer.Message) peer.Message {
 	ans := peer.Message{Kind: peer.Nack, From: grp.Self}
 	ctx, cancel := context.WithTimeout(ctx, indirectWait)
 	defer cancel()
-	got, err := grp.Link.Ask(ctx, msg.Target.Addr(), peer.Message{Kind: peer.Probe, From: grp.Self, To: msg.Target})
+	got, err := grp.Link.Call(ctx, msg.Target.Addr(), peer.Message{Kind: peer.Probe, From: grp.Self, To: msg.Target})
 	if err == nil && got.From == msg.Target {
 		ans.Kind = peer.OK
 		ans.News = got.News
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -102,5 +102,5 @@
 // Context returns the context that Run was called with.
 func (lp *Loop) Context() context.Context { return lp.ctx }
 
-// Waiting returns the number of queued events.
-func (lp *Loop) Waiting() int { return len(lp.events) }
+// QueueLen returns the number of queued events.
+func (lp *Loop) QueueLen() int { return len(lp.events) }
--- a/internal/node/cutoff_test.go
+++ b/internal/node/cutoff_test.go
@@ -144,7 +144,7 @@
 		}
 	}
 	stp.sendAll(staged, "15000")
-	eventually(func() int { return int(stp.nodes[0].front.Under() + stp.nodes[1].front.Under()) }, soon).Should(equal(2))
+	eventually(func() int { return int(stp.nodes[0].front.InFlight() + stp.nodes[1].front.InFlight()) }, soon).Should(equal(2))
 	stp.stop()
 	for _, snt := range stp.wait() {
 		stp.notRun(snt)
@@ -221,7 +221,7 @@
 		}
 		return n
 	}, soon).Should(equal(2))
-	eventually(func() bool { return stp.nodes[0].pools.Knows("bookings", 2) }, soon).Should(gomega.BeTrue())
+	eventually(func() bool { return stp.nodes[0].pools.HasUsable("bookings", 2) }, soon).Should(gomega.BeTrue())
 	stp.sendAll("/log/x", "15000")
 	eventually(pool.triedTwice, soon).Should(equal(1))
 	stp.stop()
@@ -257,7 +257,7 @@
 	stp := newTimedStops(t, 1, time.Second, clk)
 	stp.sendAll(stream, "15000")
 	nod := stp.nodes[0]
-	eventually(func() int64 { return nod.front.Under() }, soon).Should(equal(int64(1)))
+	eventually(func() int64 { return nod.front.InFlight() }, soon).Should(equal(int64(1)))
 	ended := make(chan struct{})
 	go func() {
 		nod.Stop(context.Background())
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -15,15 +15,15 @@
 
 	"amaranthvalve/internal/batch"
 	"amaranthvalve/internal/conf"
+	"amaranthvalve/internal/coord"
 	"amaranthvalve/internal/front"
-	"amaranthvalve/internal/homes"
 	"amaranthvalve/internal/meter"
 	"amaranthvalve/internal/peer"
 	"amaranthvalve/internal/pools"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/internal/relay"
 	"amaranthvalve/internal/serve"
 	"amaranthvalve/internal/state"
-	"amaranthvalve/internal/talk"
 	"amaranthvalve/internal/wire"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/ident"
@@ -64,7 +64,7 @@
 	ctl   *state.Control
 	front *front.Front
 	pools *pools.Pools
-	homes *homes.Homes
+	homes *coord.Coordinator
 	link  *peer.Link
 
 	calls  *serve.Server
@@ -80,7 +80,7 @@
 
 // New opens the sockets of an instance that speaks a dialect. Nothing is
 // served before Start.
-func New(set *conf.Settings, dia *talk.Dialect, log zerolog.Logger) (*Node, error) {
+func New(set *conf.Settings, dia *proto.Dialect, log zerolog.Logger) (*Node, error) {
 	nod := &Node{set: set, log: log, mtr: meter.New(), ended: make(chan struct{})}
 	nod.keep.Store(int64(set.Keep()))
 	calls, err := net.Listen("tcp", set.CallerAddr())
@@ -98,35 +98,35 @@
 }
 
 func (nod *Node) openLink() error {
-	server, client, err := peer.EphemeralKeys()
+	server, client, err := peer.EphemeralTLS()
 	if err != nil {
 		return Error.Wrap(err)
 	}
 	nod.link, err = peer.Listen(nod.set.PeerAddr(), server, client, func(ctx context.Context, msg peer.Message) peer.Message {
 		switch msg.Kind {
-		case peer.PiecesFreed:
-			return nod.homes.Freed(msg)
-		case peer.WaitWanted:
-			return nod.homes.Tell(msg)
-		case peer.PlaceWanted:
-			return nod.homes.Seat(msg)
-		case peer.PlaceTold:
-			return nod.homes.Heard(msg)
-		case peer.PermitWanted:
-			return nod.homes.Permit(msg)
+		case peer.ReleaseResults:
+			return nod.homes.HandleRelease(msg)
+		case peer.GetWait:
+			return nod.homes.HandleWaitQuery(msg)
+		case peer.PlacePrompt:
+			return nod.homes.HandlePlace(msg)
+		case peer.ReportPlaced:
+			return nod.homes.HandleReports(msg)
+		case peer.GetPermit:
+			return nod.homes.HandlePermit(msg)
 		}
 		return nod.ctl.Handle(ctx, msg)
 	})
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	nod.link.Slow = func(ctx context.Context, msg peer.Message) peer.Message {
-		if msg.Kind == peer.NewsWanted {
-			return nod.ctl.Tell(ctx, msg)
+	nod.link.HandleLong = func(ctx context.Context, msg peer.Message) peer.Message {
+		if msg.Kind == peer.PollUpdate {
+			return nod.ctl.ServeFollower(ctx, msg)
 		}
-		return nod.homes.Gather(ctx, msg)
+		return nod.homes.HandleOrder(ctx, msg)
 	}
-	nod.link.Refused = func(err error) {
+	nod.link.OnRefused = func(err error) {
 		nod.mtr.Event(meter.EventPeerRefused)
 		nod.log.Warn().Err(err).Msg("a peer was refused")
 	}
@@ -134,7 +134,7 @@
 }
 
 // open makes the parts.
-func (nod *Node) open(dia *talk.Dialect) {
+func (nod *Node) open(dia *proto.Dialect) {
 	self := nod.set.PeerAdvertise()
 	if self == "" {
 		self = nod.set.CallerAddr()
@@ -142,34 +142,34 @@
 	inc := ident.NewIncarnation(self)
 	nod.log = nod.log.With().Str("instance", string(inc)).Logger()
 	heard := func(addr string, res *http.Response, ago time.Duration) {
-		nod.ctl.Answered(addr, dia.Reply(res), nod.clk.Now()-clock.FromDuration(ago))
+		nod.ctl.RecordReply(addr, dia.Reply(res), nod.clk.Now()-clock.FromDuration(ago))
 	}
-	kept := relay.Kept(keptIdle, heard)
+	kept := relay.PooledClient(keptIdle, heard)
 	share, most, window := nod.set.Retries()
 	desk := batch.New(batch.Setup{
 		Dialect: dia, Client: kept, Clock: nod.clk, Meter: nod.mtr, Log: nod.log, Share: share, Reserve: most, Window: window,
-		Gone:    func(id ident.Process, why string) { nod.ctl.Left(id, why) },
-		Ended:   relay.Ended,
-		Keeps:   func(pool string) float64 { return nod.homes.Keeps(pool) },
-		Fetched: func(lots []batch.Lot) { nod.homes.FreeAll(lots) },
+		OnMisdirected:   func(id ident.Process, why string) { nod.ctl.EndpointLeaving(id, why) },
+		ProcessEnded:    relay.ProcessEnded,
+		RateShare:       func(pool string) float64 { return nod.homes.RateShare(pool) },
+		OnInputsFetched: func(lots []batch.ResultSet) { nod.homes.ReleaseAll(lots) },
 	})
-	pls := pools.New(pools.Setup{Clock: nod.clk, Zone: nod.set.Zone(), RepeatShare: share, Repeats: most})
+	pls := pools.New(pools.Setup{Clock: nod.clk, Zone: nod.set.Zone(), RetryShare: share, RetryReserve: most})
 	nod.pools = pls
 	nod.ctl = state.New(state.Setup{
 		Self: inc, Zone: nod.set.Zone(), Caller: nod.set.CallerAddr(), Seeds: nod.set.Peers(), Capacity: nod.set.Capacity(),
-		Clock: nod.clk, Store: dia.Store(nod.set.Store(), relay.Kept(keptIdle, nil)), Meter: nod.mtr, Log: nod.log,
-		Dialect: dia, Link: nod.link, TokensFor: nod.set.TokensFor(),
-		Changed: func(vw *state.View) {
+		Clock: nod.clk, Store: dia.Store(nod.set.Store(), relay.PooledClient(keptIdle, nil)), Meter: nod.mtr, Log: nod.log,
+		Dialect: dia, Link: nod.link, TokenMaxViewAge: nod.set.TokensFor(),
+		OnChange: func(vw *state.View) {
 			desk.Sync(vw.Plan(), vw.Endpoints(), vw.Rates())
 			pls.Sync(vw)
 			if pln := vw.Plan(); pln != nil {
-				nod.calls.SetLimits(serve.Limits{Header: pln.Limits().HeaderTime, Idle: pln.Limits().IdleTime})
+				nod.calls.SetLimits(serve.Limits{HeaderTimeout: pln.Limits().HeaderTime, IdleTimeout: pln.Limits().IdleTime})
 			}
 		},
 	})
-	nod.homes = homes.New(homes.Setup{Control: nod.ctl, Desk: desk, Pools: pls, Link: nod.link, Clock: nod.clk, Log: nod.log, Held: asksHeld(dia, kept)})
+	nod.homes = coord.New(coord.Setup{Control: nod.ctl, Batcher: desk, Pools: pls, Link: nod.link, Clock: nod.clk, Log: nod.log, CachedParts: asksHeld(dia, kept)})
 	nod.front = front.New(front.Setup{
-		Control: nod.ctl, Dialect: dia, Relay: relay.New(dia, heard), Pools: pls, Homes: nod.homes, Clock: nod.clk,
+		Control: nod.ctl, Dialect: dia, Relay: relay.New(dia, heard), Pools: pls, Coordinator: nod.homes, Clock: nod.clk,
 		Meter: nod.mtr, Log: nod.log,
 		TokensFor: clock.Milli(tokensShare * float64(nod.set.TokensFor())),
 	})
@@ -177,15 +177,17 @@
 
 // asksHeld gives what asks model engines which parts of prompts they hold, nil in a dialect
 // without such a question.
-func asksHeld(dia *talk.Dialect, cli *http.Client) func(ctx context.Context, ep talk.Endpoint) ([]place.Part, error) {
-	if dia.Held == nil {
+func asksHeld(dia *proto.Dialect, cli *http.Client) func(ctx context.Context, ep proto.Endpoint) ([]place.Part, error) {
+	if dia.CachedParts == nil {
 		return nil
 	}
-	return func(ctx context.Context, ep talk.Endpoint) ([]place.Part, error) { return dia.Held(ctx, cli, ep) }
+	return func(ctx context.Context, ep proto.Endpoint) ([]place.Part, error) {
+		return dia.CachedParts(ctx, cli, ep)
+	}
 }
 
 // openOthers opens what is asked by others than callers.
-func (nod *Node) openOthers(dia *talk.Dialect) error {
+func (nod *Node) openOthers(dia *proto.Dialect) error {
 	byAddr := map[string][]rest.Route{}
 	add := func(addr, path string, handler http.HandlerFunc) {
 		if addr != "" {
@@ -197,7 +199,7 @@
 	add(nod.set.MetricsAddr(), "/metrics", nod.mtr.Handler().ServeHTTP)
 	add(nod.set.MetricsAddr(), wire.StatusPath, nod.showStatus)
 	for addr, routes := range byAddr {
-		handler, err := serve.Router(routes)
+		handler, err := serve.NewRouter(routes)
 		if err != nil {
 			return Error.Wrap(err)
 		}
@@ -205,7 +207,7 @@
 		if err != nil {
 			return Error.Wrap(err)
 		}
-		nod.others, nod.lsns = append(nod.others, serve.Plain(handler)), append(nod.lsns, lsn)
+		nod.others, nod.lsns = append(nod.others, serve.NewPlain(handler)), append(nod.lsns, lsn)
 	}
 	return nil
 }
@@ -221,7 +223,7 @@
 
 // entries answers "which address": all instances that take callers. An instance
 // that isn't ready names nobody: it may be the one that is cut off.
-func (nod *Node) entries(dia *talk.Dialect) http.HandlerFunc {
+func (nod *Node) entries(dia *proto.Dialect) http.HandlerFunc {
 	return func(wrt http.ResponseWriter, _ *http.Request) {
 		vw := nod.ctl.View()
 		if !vw.Ready(nod.clk.Now()) {
@@ -280,20 +282,20 @@
 	began := nod.clk.Now()
 	end := began + nod.set.Stop() - stopMargin
 	kept := max(keptTimes*clock.Milli(nod.keep.Load()), clock.Milli(nod.longer.Load())-began) + stopSettle
-	nod.log.Info().Int64("kept_ms", int64(kept)).Int64("stop_ms", int64(nod.set.Stop())).Int64("under_way", nod.front.Under()).Msg("leaving")
+	nod.log.Info().Int64("kept_ms", int64(kept)).Int64("stop_ms", int64(nod.set.Stop())).Int64("under_way", nod.front.InFlight()).Msg("leaving")
 	// The control thread may be busy; what comes meanwhile is bound by the stop's end too.
-	nod.front.Leave(end)
+	nod.front.BeginShutdown(end)
 	sctx, cancel := nod.withEnd(ctx, end)
 	defer cancel()
 	nod.ctl.Leave(sctx)
 	nod.until(ctx, min(began+kept, end), func() bool { return false })
-	nod.log.Info().Int64("under_way", nod.front.Under()).Msg("taking no new connections, finishing what is under way")
+	nod.log.Info().Int64("under_way", nod.front.InFlight()).Msg("taking no new connections, finishing what is under way")
 	nod.calls.Shutdown(sctx)
 	nod.until(ctx, end, func() bool { return nod.homes.Orders() == 0 })
 	// The last answers to others, and results that are given back, are on their way for a moment.
 	nod.until(ctx, min(nod.clk.Now()+stopLast, end), func() bool { return false })
-	under := nod.front.Under()
-	nod.calls.GiveUp()
+	under := nod.front.InFlight()
+	nod.calls.Abort()
 	nod.log.Info().Int64("given_up", under).Int64("took_ms", int64(nod.clk.Since(began))).Msg("stopped")
 	nod.Kill()
 }
--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -13,12 +13,12 @@
 	"github.com/onsi/gomega"
 
 	"amaranthvalve/internal/peer"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/internal/stand"
-	"amaranthvalve/internal/talk"
 	"amaranthvalve/pkg/clock"
+	"amaranthvalve/pkg/gossip"
 	"amaranthvalve/pkg/ident"
 	"amaranthvalve/pkg/poison"
-	"amaranthvalve/pkg/rumor"
 	"amaranthvalve/platform/fake"
 )
 
@@ -57,7 +57,7 @@
 	}
 	for _, nod := range wld.nodes {
 		eventually(func() int {
-			return len(slices.DeleteFunc(slices.Clone(nod.ctl.View().Endpoints()), func(ep talk.Endpoint) bool { return ep.Pool != "engines" }))
+			return len(slices.DeleteFunc(slices.Clone(nod.ctl.View().Endpoints()), func(ep proto.Endpoint) bool { return ep.Pool != "engines" }))
 		}, soon).Should(equal(len(wld.engines)))
 	}
 	return crs
@@ -186,12 +186,12 @@
 				wld.entry("bookings", old.ID(), wld.servers[old.ID()].Addr(), true)
 			}
 			wld.plain = []*fake.Endpoint{ep}
-			eventually(func() bool { return wld.nodes[0].pools.Knows("bookings", 1) }, soon).Should(gomega.BeTrue())
+			eventually(func() bool { return wld.nodes[0].pools.HasUsable("bookings", 1) }, soon).Should(gomega.BeTrue())
 			ep.Fault(fake.Hangs)
 			grp.Go(func() { wld.send(0, ask{path: "/booking/x", body: "left"}) })
 			eventually(func() int { return len(ep.Runs()) }, soon).Should(equal(1))
 			wld.entry("bookings", id, wld.servers[id].Addr(), true)
-			eventually(func() bool { return wld.nodes[0].pools.Knows("bookings", 0) }, soon).Should(gomega.BeTrue())
+			eventually(func() bool { return wld.nodes[0].pools.HasUsable("bookings", 0) }, soon).Should(gomega.BeTrue())
 			wld.servers[id].Close()
 			grp.Wait()
 		}
@@ -221,7 +221,7 @@
 		for range 3 {
 			wld.startLinked(func(nod *Node) {
 				last := len(wld.nodes) == 2
-				nod.link.Cut = func(addr string) bool {
+				nod.link.Partitioned = func(addr string) bool {
 					return off.Load() && (last || addr == wld.nodes[2].link.Addr())
 				}
 			})
@@ -329,7 +329,7 @@
 		}()
 		eventually(came, soon).Should(gomega.BeNumerically(">", before))
 		for i := range 3 {
-			wld.nodes[0].ctl.EndedUnder(poison.MarkOf(host, staged, "corella", []byte(deadly)), ident.Process(fmt.Sprintf("i-%d", i)))
+			wld.nodes[0].ctl.RecordCrash(poison.FingerprintOf(host, staged, "corella", []byte(deadly)), ident.Process(fmt.Sprintf("i-%d", i)))
 		}
 		var ans got
 		eventually(answer, soon).Should(gomega.Receive(&ans))
@@ -386,15 +386,15 @@
 
 // endedBefore has all instances know of three ends under the deadly request, so long ago.
 func (wld *world) endedBefore(ago clock.Milli) {
-	mrk := poison.MarkOf(host, "/stream-once/plan", "corella", []byte(deadly))
-	var facts []rumor.Fact
+	mrk := poison.FingerprintOf(host, "/stream-once/plan", "corella", []byte(deadly))
+	var facts []gossip.Fact
 	for i := range 3 {
-		facts = append(facts, rumor.Fact{
-			Kind: rumor.EndedUnder, Key: poison.Key(mrk, ident.Process(fmt.Sprintf("before-%d", i))), Value: "127.0.0.1:1", Version: 1, Age: ago,
+		facts = append(facts, gossip.Fact{
+			Kind: gossip.EndedUnder, Key: poison.Key(mrk, ident.Process(fmt.Sprintf("before-%d", i))), Value: "127.0.0.1:1", Version: 1, Age: ago,
 		})
 	}
 	for _, nod := range wld.nodes {
-		nod.ctl.Handle(context.Background(), peer.Message{Kind: peer.FactsTold, From: wld.nodes[0].ctl.Self(), To: nod.ctl.Self(), Facts: facts})
+		nod.ctl.Handle(context.Background(), peer.Message{Kind: peer.PushFacts, From: wld.nodes[0].ctl.Self(), To: nod.ctl.Self(), Facts: facts})
 		eventually(func() bool { return nod.ctl.View().Suspects().OnTrial(mrk) }, soon).Should(gomega.BeTrue())
 	}
 }
--- a/internal/node/rate_test.go
+++ b/internal/node/rate_test.go
@@ -114,7 +114,7 @@
 			wld.load(ctx, toEngines, 20)
 		}()
 		time.Sleep(5 * time.Second)
-		keeper := wld.nodes[0].ctl.View().Gatherers("engines")[0]
+		keeper := wld.nodes[0].ctl.View().Coordinators("engines")[0]
 		killed := time.Now()
 		for _, nod := range wld.nodes {
 			if nod.ctl.Self() == keeper {
@@ -186,7 +186,7 @@
 		wld := newWorld(0)
 		for i := range int32(3) {
 			wld.startLinked(func(nod *Node) {
-				nod.link.Cut = func(addr string) bool {
+				nod.link.Partitioned = func(addr string) bool {
 					cut := off.Load() - 1
 					return cut >= 0 && (cut == i || addr == wld.nodes[cut].link.Addr())
 				}
@@ -203,7 +203,7 @@
 				wld.send(i%3, knd.ask)
 			}
 			time.Sleep(500 * time.Millisecond)
-			last := wld.nodes[0].ctl.View().Gatherers(knd.pool)[2]
+			last := wld.nodes[0].ctl.View().Coordinators(knd.pool)[2]
 			asker := slices.IndexFunc(wld.nodes, func(nod *Node) bool { return nod.ctl.Self() == last })
 			off.Store(int32(asker + 1))
 			before := len(knd.ep.Came())
--- a/internal/node/requests_test.go
+++ b/internal/node/requests_test.go
@@ -12,7 +12,7 @@
 	"github.com/onsi/ginkgo/v2"
 	"github.com/onsi/gomega"
 
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/platform/fake"
 )
 
@@ -177,7 +177,7 @@
 		eventually(func() int { return len(runs(wld.plain)) }, soon).Should(equal(2 * startPlaces))
 		done := make(chan got, 1)
 		go func() { done <- book("late") }()
-		eventually(func() int64 { return wld.nodes[0].front.Under() }, soon).Should(equal(int64(2*startPlaces + 1)))
+		eventually(func() int64 { return wld.nodes[0].front.InFlight() }, soon).Should(equal(int64(2*startPlaces + 1)))
 		wld.keys = []string{"another"}
 		wld.publish(patient)
 		eventually(known, soon).Should(equal(int64(wld.version)))
@@ -202,7 +202,7 @@
 			wld.store.PutEndpoint(ep.ID(), entry)
 		}
 		eventually(func() bool {
-			return !slices.ContainsFunc(wld.nodes[0].ctl.View().Endpoints(), func(ep talk.Endpoint) bool {
+			return !slices.ContainsFunc(wld.nodes[0].ctl.View().Endpoints(), func(ep proto.Endpoint) bool {
 				return ep.Pool == "bookings" && ep.ID.Born() == 0
 			})
 		}, soon).Should(gomega.BeTrue())
@@ -331,7 +331,7 @@
 			mkr.Takes = 300 * time.Millisecond
 		}
 		home := 0
-		if wld.nodes[0].ctl.View().Gatherers("rosters")[0] != wld.nodes[0].ctl.Self() {
+		if wld.nodes[0].ctl.View().Coordinators("rosters")[0] != wld.nodes[0].ctl.Self() {
 			home = 1
 		}
 		staged := func(ctx context.Context, node int, left string) got {
@@ -424,7 +424,7 @@
 		wld.store.RemoveEndpoint(wld.makers[1].ID())
 		for _, nod := range wld.nodes {
 			eventually(func() bool {
-				return slices.ContainsFunc(nod.ctl.View().Endpoints(), func(ep talk.Endpoint) bool { return ep.ID.Name() == wld.makers[1].ID() })
+				return slices.ContainsFunc(nod.ctl.View().Endpoints(), func(ep proto.Endpoint) bool { return ep.ID.Name() == wld.makers[1].ID() })
 			}, soon).Should(gomega.BeFalse())
 		}
 		// The first stage is made, the second one is refused until its time is up.
@@ -455,7 +455,7 @@
 	ginkgo.It("outlives the instance that gathers its pieces", func() {
 		wld := newWorld(2)
 		dead := 0
-		if wld.nodes[0].ctl.View().Gatherers("rosters")[0] != wld.nodes[0].ctl.Self() {
+		if wld.nodes[0].ctl.View().Coordinators("rosters")[0] != wld.nodes[0].ctl.Self() {
 			dead = 1
 		}
 		wld.nodes[dead].Kill()
@@ -470,7 +470,7 @@
 	// then placed by the instance that has it.
 	ginkgo.It("outlives the instance that places its prompt", func() {
 		wld := newWorld(3)
-		placer := wld.nodes[0].ctl.View().Gatherers("engines")[0]
+		placer := wld.nodes[0].ctl.View().Coordinators("engines")[0]
 		dead := slices.IndexFunc(wld.nodes, func(nod *Node) bool { return nod.ctl.Self() == placer })
 		expect(dead).To(gomega.BeNumerically(">=", 0))
 		send := func() (got, time.Duration) {
--- a/internal/node/state_test.go
+++ b/internal/node/state_test.go
@@ -11,7 +11,7 @@
 	"github.com/onsi/ginkgo/v2"
 	"github.com/onsi/gomega"
 
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/internal/wire"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/platform"
@@ -74,7 +74,7 @@
 	ginkgo.It("sends nothing to endpoints that leave or are replaced", func() {
 		wld := newWorld(1)
 		wld.entry("bookings", "booking-0", wld.servers["booking-0"].Addr(), true)
-		eventually(func() bool { return wld.nodes[0].pools.Knows("bookings", 1) }, soon).Should(gomega.BeTrue())
+		eventually(func() bool { return wld.nodes[0].pools.HasUsable("bookings", 1) }, soon).Should(gomega.BeTrue())
 		before := len(wld.plain[0].Runs())
 		for range 10 {
 			expect(wld.send(0, ask{path: "/booking/x"}).status).To(equal(http.StatusOK))
@@ -123,9 +123,9 @@
 			expect(wld.send(0, ask{path: "/booking/x"}).status).To(equal(http.StatusOK))
 		}
 		before := len(runs(wld.plain))
-		nod.front.Leave(nod.clk.Now() + 60000)
+		nod.front.BeginShutdown(nod.clk.Now() + 60000)
 		expect(wld.send(0, ask{path: "/booking/x"}).status).To(equal(http.StatusOK))
-		nod.front.Leave(nod.clk.Now() + 300)
+		nod.front.BeginShutdown(nod.clk.Now() + 300)
 		ans := wld.send(0, ask{path: "/booking/x"})
 		expect(ans.status).To(equal(http.StatusServiceUnavailable))
 		expect(ans.body).To(gomega.ContainSubstring("stopping"))
@@ -142,7 +142,7 @@
 		follower := -1
 		eventually(func() int {
 			for i, nod := range wld.nodes {
-				if nod.ctl.Follows() {
+				if nod.ctl.IsFollower() {
 					follower = i
 				}
 			}
@@ -191,16 +191,16 @@
 	ginkgo.It("stands in the store again after its line was withdrawn", func() {
 		wld := newWorld(4)
 		sto := platform.Dialect().Store(wld.srv.Addr(), http.DefaultClient)
-		follower := wld.nodes[slices.IndexFunc(wld.nodes, func(nod *Node) bool { return nod.ctl.Follows() })]
+		follower := wld.nodes[slices.IndexFunc(wld.nodes, func(nod *Node) bool { return nod.ctl.IsFollower() })]
 		name := string(follower.ctl.Self())
 		listed := func() bool {
 			all, _, err := sto.Instances(context.Background())
-			return err == nil && slices.ContainsFunc(all, func(inst talk.Instance) bool { return inst.Name == name })
+			return err == nil && slices.ContainsFunc(all, func(inst proto.Instance) bool { return inst.Name == name })
 		}
 		eventually(listed, soon).Should(gomega.BeTrue())
 		// Its own looks of the beginning are over.
 		time.Sleep(7 * time.Second)
-		expect(follower.ctl.Follows()).To(gomega.BeTrue())
+		expect(follower.ctl.IsFollower()).To(gomega.BeTrue())
 		expect(sto.Withdraw(context.Background(), name)).To(gomega.Succeed())
 		expect(listed()).To(gomega.BeFalse())
 		eventually(listed, 3*soon).Should(gomega.BeTrue())
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -53,7 +53,7 @@
 	if pln != nil {
 		st.Services = append(st.Services, wire.StatusService{Service: "all routes", Revision: pln.Version()})
 		for name, pol := range pln.Pools() {
-			if homes := vw.Gatherers(name); pol.Batch() != nil && len(homes) > 0 {
+			if homes := vw.Coordinators(name); pol.Batch() != nil && len(homes) > 0 {
 				st.Gatherers = append(st.Gatherers, wire.StatusGatherer{Pool: name, Instance: string(homes[0])})
 			}
 		}
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -62,7 +62,7 @@
 	// Guards against orders of other instances that are dropped once own callers are served.
 	ginkgo.It("fills the orders that it took from others", func() {
 		wld := newWorld(2)
-		gatherer := wld.nodes[0].ctl.View().Gatherers("rosters")[0]
+		gatherer := wld.nodes[0].ctl.View().Coordinators("rosters")[0]
 		home := slices.IndexFunc(wld.nodes, func(nod *Node) bool { return nod.ctl.Self() == gatherer })
 		expect(home).To(gomega.BeNumerically(">=", 0))
 		for _, mkr := range wld.makers {
--- a/internal/node/world_test.go
+++ b/internal/node/world_test.go
@@ -126,7 +126,7 @@
 func (wld *world) meet() {
 	for _, nod := range wld.nodes {
 		eventually(func() int { return len(nod.ctl.View().Members()) }, soon).Should(equal(len(wld.nodes)))
-		eventually(func() bool { return nod.ctl.View().Ready(nod.clk.Now()) && nod.pools.Knows("bookings", 2) }, soon).Should(gomega.BeTrue())
+		eventually(func() bool { return nod.ctl.View().Ready(nod.clk.Now()) && nod.pools.HasUsable("bookings", 2) }, soon).Should(gomega.BeTrue())
 	}
 }
 
--- a/internal/peer/ephemeral.go
+++ b/internal/peer/ephemeral.go
@@ -8,11 +8,11 @@
 	"crypto/x509"
 )
 
-// EphemeralKeys returns the TLS configuration of an instance without configured certificates, with
+// EphemeralTLS returns the TLS configuration of an instance without configured certificates, with
 // a key that is generated at start and lasts as long as the process. The link is encrypted but
 // peers are not authenticated, like anyone who can reach the store, which does not authenticate
 // either.
-func EphemeralKeys() (server, client *tls.Config, err error) {
+func EphemeralTLS() (server, client *tls.Config, err error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, nil, Error.Wrap(err)
--- a/internal/peer/long.go
+++ b/internal/peer/long.go
@@ -13,7 +13,7 @@
 	ctx, cancel := context.WithCancel(str.Context())
 	defer cancel()
 	done := make(chan Message, 1)
-	go func() { done <- lnk.Slow(ctx, msg) }()
+	go func() { done <- lnk.HandleLong(ctx, msg) }()
 	tkr := time.NewTicker(keepAliveInterval)
 	defer tkr.Stop()
 	for {
@@ -27,18 +27,18 @@
 		case <-ctx.Done():
 			return
 		case <-tkr.C:
-			if write(str, Message{Kind: Working}) != nil {
+			if write(str, Message{Kind: KeepAlive}) != nil {
 				return
 			}
 		}
 	}
 }
 
-// AskSlowly sends a long request. It fails when nothing was received for keepAliveTimeout, the time
+// CallLong sends a long request. It fails when nothing was received for keepAliveTimeout, the time
 // of three keep-alives: the peer has died, is frozen or partitioned off, and another one must be
 // used.
-func (lnk *Link) AskSlowly(ctx context.Context, addr string, msg Message) (Message, error) {
-	if lnk.Cut != nil && lnk.Cut(addr) {
+func (lnk *Link) CallLong(ctx context.Context, addr string, msg Message) (Message, error) {
+	if lnk.Partitioned != nil && lnk.Partitioned(addr) {
 		return Message{}, Error.New("%s is partitioned off", addr)
 	}
 	dctx, cancel := context.WithTimeout(ctx, keepAliveTimeout)
@@ -70,7 +70,7 @@
 			return Message{}, err
 		}
 		lnk.noteRead(addr, qcn)
-		if ans.Kind != Working {
+		if ans.Kind != KeepAlive {
 			return ans, nil
 		}
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -28,9 +28,9 @@
 	"github.com/zeebo/errs"
 
 	"amaranthvalve/pkg/clock"
+	"amaranthvalve/pkg/gossip"
 	"amaranthvalve/pkg/ident"
 	"amaranthvalve/pkg/member"
-	"amaranthvalve/pkg/rumor"
 )
 
 // Error is the error class of this package.
@@ -60,36 +60,36 @@
 const (
 	// Probe checks that the receiver is alive.
 	Probe Kind = iota + 1
-	// Indirect requests that the receiver probe Target.
-	Indirect
-	// StateWanted requests the state of the documents.
-	StateWanted
-	// AnswerWanted requests the recorded answer of a key.
-	AnswerWanted
+	// IndirectProbe requests that the receiver probe Target.
+	IndirectProbe
+	// GetState requests the state of the documents.
+	GetState
+	// GetAnswer requests the recorded answer of a key.
+	GetAnswer
 	// OK is the response to a successful request, Nack to a failed one.
 	OK
 	Nack
-	// PiecesWanted orders items of a stage; PiecesFreed releases results.
-	PiecesWanted
-	PiecesFreed
-	// NewsWanted is a long poll for the next change of what the receiver reads from the store; it
+	// OrderItems orders items of a stage; PiecesFreed releases results.
+	OrderItems
+	ReleaseResults
+	// PollUpdate is a long poll for the next change of what the receiver reads from the store; it
 	// is answered when there is one, or after a time-out.
-	NewsWanted
-	// WaitWanted requests the estimated wait of items at the receiver.
-	WaitWanted
-	// PlaceWanted requests the model engine for a prompt; PlaceTold reports the progress of
+	PollUpdate
+	// GetWait requests the estimated wait of items at the receiver.
+	GetWait
+	// PlacePrompt requests the model engine for a prompt; PlaceTold reports the progress of
 	// requests that the receiver placed.
-	PlaceWanted
-	PlaceTold
-	// Working is the keep-alive of a long request: a caller that receives none knows that the
+	PlacePrompt
+	ReportPlaced
+	// KeepAlive is the keep-alive of a long request: a caller that receives none knows that the
 	// receiver is gone.
-	Working
-	// Unlisted reports that the receiver's instance entry is missing from the store.
-	Unlisted
-	// FactsTold carries facts that the sender has learned.
-	FactsTold
-	// PermitWanted requests a plain endpoint with a declared rate that may be sent a request.
-	PermitWanted
+	KeepAlive
+	// EntryMissing reports that the receiver's instance entry is missing from the store.
+	EntryMissing
+	// PushFacts carries facts that the sender has learned.
+	PushFacts
+	// GetPermit requests a plain endpoint with a declared rate that may be sent a request.
+	GetPermit
 )
 
 // Message is a request or a response.
@@ -101,8 +101,8 @@
 	To     ident.Incarnation `cbor:"3,keyasint,omitempty"`
 	Target ident.Incarnation `cbor:"4,keyasint,omitempty"`
 	News   []member.News     `cbor:"5,keyasint,omitempty"`
-	// Left lists endpoints that were recently reported as leaving, as "pool/id".
-	Left []string `cbor:"6,keyasint,omitempty"`
+	// Leaving lists endpoints that were recently reported as leaving, as "pool/id".
+	Leaving []string `cbor:"6,keyasint,omitempty"`
 	// Demand is the sender's request rate per second by workspace.
 	Demand map[string]float64 `cbor:"7,keyasint,omitempty"`
 	Body   []byte             `cbor:"8,keyasint,omitempty"`
@@ -111,12 +111,12 @@
 	Known   bool        `cbor:"9,keyasint,omitempty"`
 	Applied int64       `cbor:"10,keyasint,omitempty"`
 	Age     clock.Milli `cbor:"11,keyasint,omitempty"`
-	// Up is how long the store has answered the sender without a failure.
-	Up clock.Milli `cbor:"12,keyasint,omitempty"`
+	// StoreUptime is how long the store has answered the sender without a failure.
+	StoreUptime clock.Milli `cbor:"12,keyasint,omitempty"`
 	// Facts are facts that the receiver may lack, and Digest is the digest of all facts of the
 	// sender.
-	Facts  []rumor.Fact `cbor:"13,keyasint,omitempty"`
-	Digest uint64       `cbor:"14,keyasint,omitempty"`
+	Facts  []gossip.Fact `cbor:"13,keyasint,omitempty"`
+	Digest uint64        `cbor:"14,keyasint,omitempty"`
 }
 
 // Link is an instance's transport to all other instances.
@@ -125,14 +125,14 @@
 	lsn    *quic.Listener
 	client *tls.Config
 	handle func(ctx context.Context, msg Message) Message
-	// Refused is called for connections that failed authentication; it may be nil.
-	Refused func(err error)
-	// Slow handles long requests; their kinds are not passed to handle. While it runs the caller is
+	// OnRefused is called for connections that failed authentication; it may be nil.
+	OnRefused func(err error)
+	// HandleLong handles long requests; their kinds are not passed to handle. While it runs the caller is
 	// sent Working at keepAliveInterval. It may be nil.
-	Slow func(ctx context.Context, msg Message) Message
-	// Cut reports whether an address is partitioned off, for tests; nil for none. It applies to
+	HandleLong func(ctx context.Context, msg Message) Message
+	// Partitioned reports whether an address is partitioned off, for tests; nil for none. It applies to
 	// outgoing and to incoming requests.
-	Cut func(addr string) bool
+	Partitioned func(addr string) bool
 
 	mtx   sync.Mutex
 	conns map[string]*conn
@@ -142,9 +142,9 @@
 	accepted map[*quic.Conn]struct{}
 }
 
-// Keys returns the TLS configurations of an instance from its files. They are read at each
+// TLSConfigs returns the TLS configurations of an instance from its files. They are read at each
 // handshake, so that replaced files take effect without a restart.
-func Keys(cert, key, ca string) (server, client *tls.Config, err error) {
+func TLSConfigs(cert, key, ca string) (server, client *tls.Config, err error) {
 	load := func() (*tls.Certificate, *x509.CertPool, error) {
 		pair, err := tls.LoadX509KeyPair(cert, key)
 		if err != nil {
@@ -163,12 +163,12 @@
 	if _, _, err := load(); err != nil {
 		return nil, nil, err
 	}
-	server, client = KeysFrom(load)
+	server, client = TLSConfigsFrom(load)
 	return server, client, nil
 }
 
-// KeysFrom returns the TLS configurations from a function that is called at each handshake.
-func KeysFrom(load func() (*tls.Certificate, *x509.CertPool, error)) (server, client *tls.Config) {
+// TLSConfigsFrom returns the TLS configurations from a function that is called at each handshake.
+func TLSConfigsFrom(load func() (*tls.Certificate, *x509.CertPool, error)) (server, client *tls.Config) {
 	server = &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{protocol}}
 	server.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		pair, pool, err := load()
@@ -297,20 +297,20 @@
 // connections.
 func (lnk *Link) reportRefused(err error) {
 	var trn *quic.TransportError
-	if lnk.Refused != nil && errors.As(err, &trn) && trn.ErrorCode.IsCryptoError() {
-		lnk.Refused(err)
+	if lnk.OnRefused != nil && errors.As(err, &trn) && trn.ErrorCode.IsCryptoError() {
+		lnk.OnRefused(err)
 	}
 }
 
 func (lnk *Link) answer(ctx context.Context, str *quic.Stream) {
 	_ = str.SetDeadline(time.Now().Add(answerTimeout))
 	msg, err := read(str)
-	if err != nil || lnk.Cut != nil && lnk.Cut(msg.From.Addr()) {
+	if err != nil || lnk.Partitioned != nil && lnk.Partitioned(msg.From.Addr()) {
 		str.CancelRead(0)
 		str.CancelWrite(0)
 		return
 	}
-	if lnk.Slow != nil && (msg.Kind == PiecesWanted || msg.Kind == NewsWanted) {
+	if lnk.HandleLong != nil && (msg.Kind == OrderItems || msg.Kind == PollUpdate) {
 		lnk.answerLong(str, msg)
 		return
 	}
@@ -319,9 +319,9 @@
 	}
 }
 
-// Ask sends a request to the instance at addr and returns the response.
-func (lnk *Link) Ask(ctx context.Context, addr string, msg Message) (Message, error) {
-	if lnk.Cut != nil && lnk.Cut(addr) {
+// Call sends a request to the instance at addr and returns the response.
+func (lnk *Link) Call(ctx context.Context, addr string, msg Message) (Message, error) {
+	if lnk.Partitioned != nil && lnk.Partitioned(addr) {
 		return Message{}, Error.New("%s is partitioned off", addr)
 	}
 	qcn, err := lnk.conn(ctx, addr)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return KeysFrom(func() (*tls.Certificate, *x509.CertPool, error) { return pair, ath.Pool(), nil })
+	return TLSConfigsFrom(func() (*tls.Certificate, *x509.CertPool, error) { return pair, ath.Pool(), nil })
 }
 
 // openLink opens a link that answers every request; set changes it before it serves.
@@ -99,12 +99,12 @@
 	gom := gomega.NewWithT(t)
 	ours, theirs := openLink(t, newAuthority(t), "ours#1"), openLink(t, newAuthority(t), "theirs#1")
 	var refused atomic.Int64
-	ours.Refused = func(error) { refused.Add(1) }
+	ours.OnRefused = func(error) { refused.Add(1) }
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
-	_, err := theirs.Ask(ctx, ours.Addr(), Message{Kind: Probe})
+	_, err := theirs.Call(ctx, ours.Addr(), Message{Kind: Probe})
 	gom.Expect(err).To(gomega.HaveOccurred())
-	_, err = ours.Ask(ctx, theirs.Addr(), Message{Kind: Probe})
+	_, err = ours.Call(ctx, theirs.Addr(), Message{Kind: Probe})
 	gom.Expect(err).To(gomega.HaveOccurred())
 	gom.Eventually(refused.Load, 2*time.Second).Should(gomega.BeNumerically(">", 0))
 }
@@ -122,7 +122,7 @@
 			body[0] = byte(i)
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 			defer cancel()
-			ans, err := one.Ask(ctx, two.Addr(), Message{Kind: Probe, Body: body})
+			ans, err := one.Call(ctx, two.Addr(), Message{Kind: Probe, Body: body})
 			if err == nil && (len(ans.Body) != len(body) || ans.Body[0] != byte(i)) {
 				err = fmt.Errorf("%d got another's answer", i)
 			}
@@ -147,7 +147,7 @@
 	errs := make(chan error, 60)
 	for range cap(errs) {
 		go func() {
-			_, err := one.Ask(ctx, two.Addr(), Message{Kind: Probe})
+			_, err := one.Call(ctx, two.Addr(), Message{Kind: Probe})
 			errs <- err
 		}()
 	}
@@ -173,7 +173,7 @@
 	defer cancel()
 	first := make(chan error, 1)
 	go func() {
-		_, err := one.Ask(short, addr, Message{Kind: Probe})
+		_, err := one.Call(short, addr, Message{Kind: Probe})
 		first <- err
 	}()
 	gom.Eventually(func() int {
@@ -185,7 +185,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
-		_, err := one.Ask(ctx, addr, Message{Kind: Probe})
+		_, err := one.Call(ctx, addr, Message{Kind: Probe})
 		second <- err
 	}()
 	// The port is held until the first deadline expires: a peer that came up sooner would accept
@@ -214,7 +214,7 @@
 			<-hold
 			return Message{Kind: OK}
 		}
-		lnk.Slow = func(context.Context, Message) Message {
+		lnk.HandleLong = func(context.Context, Message) Message {
 			<-answer
 			return Message{Kind: OK, Body: []byte("whole")}
 		}
@@ -223,7 +223,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
-		_, err := one.AskSlowly(ctx, two.Addr(), Message{Kind: PiecesWanted})
+		_, err := one.CallLong(ctx, two.Addr(), Message{Kind: OrderItems})
 		slow <- err
 	}()
 	gom.Eventually(func() int {
@@ -233,7 +233,7 @@
 	}, 5*time.Second).Should(gomega.Equal(1))
 	short, cancel := context.WithTimeout(context.Background(), 2*keepAliveInterval)
 	defer cancel()
-	_, err := one.Ask(short, two.Addr(), Message{Kind: Probe})
+	_, err := one.Call(short, two.Addr(), Message{Kind: Probe})
 	gom.Expect(err).To(gomega.HaveOccurred())
 	close(answer)
 	gom.Expect(<-slow).NotTo(gomega.HaveOccurred())
@@ -249,7 +249,7 @@
 	one, two := openLink(t, ath, "one#1"), openLink(t, ath, "two#1")
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	_, err := one.Ask(ctx, two.Addr(), Message{Kind: Probe})
+	_, err := one.Call(ctx, two.Addr(), Message{Kind: Probe})
 	gom.Expect(err).NotTo(gomega.HaveOccurred())
 	cached := func() *quic.Conn {
 		one.mtx.Lock()
@@ -284,7 +284,7 @@
 	probe := func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
-		if _, err := one.Ask(ctx, rly.sock.LocalAddr().String(), Message{Kind: Probe, From: "10.20.1.11:7300#0123456789abcdef", News: news}); err != nil {
+		if _, err := one.Call(ctx, rly.sock.LocalAddr().String(), Message{Kind: Probe, From: "10.20.1.11:7300#0123456789abcdef", News: news}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -311,7 +311,7 @@
 		for range 20 {
 			three := openLink(t, ath, "x#1")
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-			if _, err := one.Ask(ctx, three.Addr(), Message{Kind: Probe}); err != nil {
+			if _, err := one.Call(ctx, three.Addr(), Message{Kind: Probe}); err != nil {
 				t.Fatal(err)
 			}
 			cancel()
@@ -331,7 +331,7 @@
 	links := make([]*Link, 3)
 	for i, dir := range dirs {
 		gom.Expect(old.WriteFiles(dir)).To(gomega.Succeed())
-		server, client, err := Keys(dir+"/cert.pem", dir+"/key.pem", dir+"/ca.pem")
+		server, client, err := TLSConfigs(dir+"/cert.pem", dir+"/key.pem", dir+"/ca.pem")
 		gom.Expect(err).NotTo(gomega.HaveOccurred())
 		lnk, err := Listen("127.0.0.1:0", server, client, func(context.Context, Message) Message { return Message{Kind: OK} })
 		gom.Expect(err).NotTo(gomega.HaveOccurred())
@@ -346,7 +346,7 @@
 		links[from].mtx.Unlock()
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
-		_, err := links[from].Ask(ctx, links[to].Addr(), Message{Kind: Probe})
+		_, err := links[from].Call(ctx, links[to].Addr(), Message{Kind: Probe})
 		return err
 	}
 	both := func() {
--- a/internal/pools/pools.go
+++ b/internal/pools/pools.go
@@ -11,8 +11,8 @@
 	"slices"
 	"sync"
 
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/internal/state"
-	"amaranthvalve/internal/talk"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/ident"
 	"amaranthvalve/pkg/limit"
@@ -38,10 +38,10 @@
 type Setup struct {
 	Clock clock.Clock
 	Zone  string
-	// Repeats is the number of retries that a pool may get within the budget's window from all
+	// RetryReserve is the number of retries that a pool may get within the budget's window from all
 	// instances, in addition to the share RepeatShare of its first attempts.
-	Repeats     float64
-	RepeatShare float64
+	RetryReserve float64
+	RetryShare   float64
 }
 
 // Target is an endpoint chosen for a final call.
@@ -50,12 +50,12 @@
 	Addr string
 	// Ticket identifies the call at a model engine; empty for plain endpoints.
 	Ticket string
-	// From is the address of an engine from which this one can fetch cached parts of the prompt.
-	From string
+	// FetchFrom is the address of an engine from which this one can fetch cached parts of the prompt.
+	FetchFrom string
 	// Full is set if all slots of a model engine are taken, as far as is known.
 	Full bool
-	// Why is the placement by which a model engine was chosen; empty if another instance chose it.
-	Why place.Seat
+	// Placement is the placement by which a model engine was chosen; empty if another instance chose it.
+	Placement place.Placement
 }
 
 // Pools is safe for concurrent use. It is made by [New].
@@ -71,7 +71,7 @@
 
 // poolState is the state of one pool for final calls: model engines or plain endpoints.
 type poolState struct {
-	engines *place.Book
+	engines *place.Placer
 	plain   *route.Pool
 	budget  retry.Budget
 	// ids are the names of all endpoints.
@@ -91,7 +91,7 @@
 	if pln == nil {
 		return
 	}
-	byPool := map[string][]talk.Endpoint{}
+	byPool := map[string][]proto.Endpoint{}
 	for _, ep := range vw.Endpoints() {
 		byPool[ep.Pool] = append(byPool[ep.Pool], ep)
 	}
@@ -109,9 +109,9 @@
 	if ok && (pst.engines != nil) == (pol.Engine() != nil) {
 		return pst
 	}
-	pst = &poolState{budget: retry.NewBudget(pls.set.RepeatShare, pls.set.Repeats)}
+	pst = &poolState{budget: retry.NewBudget(pls.set.RetryShare, pls.set.RetryReserve)}
 	if pol.Engine() != nil {
-		pst.engines = &place.Book{}
+		pst.engines = &place.Placer{}
 	} else {
 		pst.plain = route.New(pls.set.Zone, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	}
@@ -119,7 +119,7 @@
 	return pst
 }
 
-func (pst *poolState) sync(list []talk.Endpoint, spc *plan.DraftEngine) {
+func (pst *poolState) sync(list []proto.Endpoint, spc *plan.DraftEngine) {
 	pst.ids = pst.ids[:0]
 	for _, ep := range list {
 		pst.calls.Listed(ep.ID)
@@ -129,7 +129,7 @@
 		engines := make([]place.Engine, len(list))
 		for i, ep := range list {
 			engines[i] = place.Engine{
-				ID: string(ep.ID), Addr: ep.Addr, Zone: ep.Zone, Leaving: ep.Leaving, Places: ep.Places, Memory: spc.Memory, Fetches: spc.Fetches,
+				ID: string(ep.ID), Addr: ep.Addr, Zone: ep.Zone, Leaving: ep.Leaving, Slots: ep.Places, Memory: spc.Memory, Fetches: spc.Fetches,
 			}
 		}
 		pst.engines.Sync(engines)
@@ -164,28 +164,28 @@
 		return Target{}, false
 	}
 	pls.rates.Take(seat.Engine.ID, share, now)
-	tgt := pst.begin(seat.Engine, seat.From, ticket, ask, now)
-	tgt.Why = seat
+	tgt := pst.begin(seat.Engine, seat.FetchAddr, ticket, ask, now)
+	tgt.Placement = seat
 	return tgt, true
 }
 
-// Aim predicts the model engine that a request will go to, so that its results can be produced near
+// Predict predicts the model engine that a request will go to, so that its results can be produced near
 // it; false if the pool has no engines. share is as for Pick.
-func (pls *Pools) Aim(pool string, ask place.Ask, share float64) (place.Seat, bool) {
+func (pls *Pools) Predict(pool string, ask place.Ask, share float64) (place.Placement, bool) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
 	pst := pls.byName[pool]
 	if pst == nil || pst.engines == nil {
-		return place.Seat{}, false
+		return place.Placement{}, false
 	}
 	now := pls.set.Clock.Now()
 	ask.Avoid = slices.Concat(ask.Avoid, pls.rateLimited(pst, share, now))
 	return pst.engines.Pick(ask, now)
 }
 
-// Take counts a request at an engine that another instance chose for it; false if that engine is
+// Assign counts a request at an engine that another instance chose for it; false if that engine is
 // unknown here, or is leaving.
-func (pls *Pools) Take(pool, id, from, ticket string, ask place.Ask) (Target, bool) {
+func (pls *Pools) Assign(pool, id, from, ticket string, ask place.Ask) (Target, bool) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
 	now := pls.set.Clock.Now()
@@ -201,8 +201,8 @@
 }
 
 func (pst *poolState) begin(eng place.Engine, from, ticket string, ask place.Ask, now clock.Milli) Target {
-	tgt := Target{ID: ident.Process(eng.ID), Addr: eng.Addr, Ticket: ticket, From: from, Full: pst.engines.Full(eng.ID, now)}
-	pst.engines.Begin(eng.ID, ticket, ask.Prompt, ask.Gap, now)
+	tgt := Target{ID: ident.Process(eng.ID), Addr: eng.Addr, Ticket: ticket, FetchFrom: from, Full: pst.engines.Full(eng.ID, now)}
+	pst.engines.Begin(eng.ID, ticket, ask.Prompt, ask.MaxGap, now)
 	return tgt
 }
 
@@ -231,38 +231,38 @@
 	return pst.engines.Len() > 0
 }
 
-// Knows reports whether a plain pool has exactly this number of usable endpoints, for tests that
+// HasUsable reports whether a plain pool has exactly this number of usable endpoints, for tests that
 // wait for it.
-func (pls *Pools) Knows(pool string, count int) bool {
+func (pls *Pools) HasUsable(pool string, count int) bool {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
 	pst := pls.byName[pool]
 	return pst != nil && pst.plain != nil && pst.plain.Usable() == count
 }
 
-// Said records the load that an endpoint reported.
-func (pls *Pools) Said(pool string, id ident.Process, rep talk.Reply) {
+// ReportLoad records the load that an endpoint reported.
+func (pls *Pools) ReportLoad(pool string, id ident.Process, rep proto.ReplyMeta) {
 	if !rep.HasLoad {
 		return
 	}
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
 	if pst := pls.byName[pool]; pst != nil && pst.engines != nil {
-		pst.engines.Said(string(id), rep.Load, pls.set.Clock.Now())
+		pst.engines.ReportLoad(string(id), rep.Load, pls.set.Clock.Now())
 	}
 }
 
-// Holds records which parts of prompts a model engine reported as cached.
-func (pls *Pools) Holds(pool string, id ident.Process, parts []place.Part) {
+// SetCached records which parts of prompts a model engine reported as cached.
+func (pls *Pools) SetCached(pool string, id ident.Process, parts []place.Part) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
 	if pst := pls.byName[pool]; pst != nil && pst.engines != nil {
-		pst.engines.Holds(string(id), parts)
+		pst.engines.ReportCached(string(id), parts)
 	}
 }
 
-// First records the first event of a request at a model engine, and how long after sending it came.
-func (pls *Pools) First(pool, ticket string, took clock.Milli) {
+// FirstEvent records the first event of a request at a model engine, and how long after sending it came.
+func (pls *Pools) FirstEvent(pool, ticket string, took clock.Milli) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
 	if pst := pls.byName[pool]; pst != nil && pst.engines != nil {
@@ -280,7 +280,7 @@
 }
 
 // Finish records the end of a request at a plain endpoint.
-func (pls *Pools) Finish(pool string, id ident.Process, ver route.Verdict, took clock.Milli) {
+func (pls *Pools) Finish(pool string, id ident.Process, ver route.Outcome, took clock.Milli) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
 	if pst := pls.byName[pool]; pst != nil && pst.plain != nil {
@@ -299,8 +299,8 @@
 	return func() {}
 }
 
-// Sent records a first attempt, which pays into the pool's retry budget.
-func (pls *Pools) Sent(pool string) {
+// CountAttempt records a first attempt, which pays into the pool's retry budget.
+func (pls *Pools) CountAttempt(pool string) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
 	if pst := pls.byName[pool]; pst != nil {
@@ -308,9 +308,9 @@
 	}
 }
 
-// Repeat takes a retry from the pool's budget, and reports whether there was one. The reserve of
+// TakeRetry takes a retry from the pool's budget, and reports whether there was one. The reserve of
 // all instances is divided among the live ones.
-func (pls *Pools) Repeat(pool string, vw *state.View) bool {
+func (pls *Pools) TakeRetry(pool string, vw *state.View) bool {
 	alive := 0
 	for _, mbr := range vw.Members() {
 		if mbr.Status() != member.Dead {
@@ -323,7 +323,7 @@
 	if pst == nil {
 		return false
 	}
-	pst.budget.SetReserve(max(1, reserveShare*pls.set.Repeats/float64(max(alive, 1))))
+	pst.budget.SetReserve(max(1, reserveShare*pls.set.RetryReserve/float64(max(alive, 1))))
 	return pst.budget.Take()
 }
 
@@ -337,8 +337,8 @@
 	return clock.Milli(firstByteDefault)
 }
 
-// Began records a time to first byte.
-func (pls *Pools) Began(route string, took clock.Milli) {
+// RecordFirstByte records a time to first byte.
+func (pls *Pools) RecordFirstByte(route string, took clock.Milli) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
 	mean, ok := pls.firstBytes[route]
--- a/internal/pools/rates.go
+++ b/internal/pools/rates.go
@@ -22,18 +22,18 @@
 	return ids
 }
 
-// Rated reports whether any endpoint of a pool declares a rate.
-func (pls *Pools) Rated(pool string) bool {
+// HasRates reports whether any endpoint of a pool declares a rate.
+func (pls *Pools) HasRates(pool string) bool {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
 	pst := pls.byName[pool]
 	return pst != nil && slices.ContainsFunc(pst.ids, pls.rates.Has)
 }
 
-// Permit takes a permit for a request to some endpoint of a plain pool that declares a rate, of
+// TakePermit takes a permit for a request to some endpoint of a plain pool that declares a rate, of
 // which this instance may use a share, and returns the endpoint's name. If there is none, the name
 // is empty, and wait is how long to wait for one.
-func (pls *Pools) Permit(pool string, share float64) (id string, wait clock.Milli) {
+func (pls *Pools) TakePermit(pool string, share float64) (id string, wait clock.Milli) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
 	now := pls.set.Clock.Now()
@@ -56,9 +56,9 @@
 	return "", wait
 }
 
-// PickOnly chooses the given plain endpoint, for which the caller has a permit; false if it is to
+// PickByID chooses the given plain endpoint, for which the caller has a permit; false if it is to
 // be avoided, or is full.
-func (pls *Pools) PickOnly(pool, id string, avoid []string) (Target, bool) {
+func (pls *Pools) PickByID(pool, id string, avoid []string) (Target, bool) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
 	pst := pls.byName[pool]
--- a/internal/talk/talk.go
+++ b/internal/proto/proto.go
@@ -1,10 +1,10 @@
-// Package talk defines the interface between the product and the protocols of callers, endpoints
+// Package proto defines the interface between the product and the protocols of callers, endpoints
 // and the store.
 //
 // A [Dialect] is a table of functions that one package fills in; header names, paths and formats stay
 // there. The types here use the product's own terms, so that the code that makes decisions doesn't
 // depend on how anything is encoded on the wire.
-package talk
+package proto
 
 import (
 	"context"
@@ -21,8 +21,8 @@
 // Error is the class of errors in callers' requests.
 var Error = errs.Class("request")
 
-// Ask is the metadata of a caller's request, beside method, target and body.
-type Ask struct {
+// RequestMeta is the metadata of a caller's request, beside method, target and body.
+type RequestMeta struct {
 	// ID identifies the request. The caller sets it, unique to the attempt.
 	ID string
 	// Left is how long the caller will wait, zero if unknown.
@@ -31,15 +31,15 @@
 	Token string
 	// Prompt describes the prompt for a model engine; nil for plain calls.
 	Prompt *place.Prompt
-	// Pieces is the number of items of each stage, and PieceKey the input of the first stages.
-	Pieces   []int
-	PieceKey string
-	// After is the ID of the last stream event that the caller has received.
-	After string
+	// Items is the number of items of each stage, and PieceKey the input of the first stages.
+	Items   []int
+	ItemKey string
+	// LastEvent is the ID of the last stream event that the caller has received.
+	LastEvent string
 }
 
-// Send is the metadata that the system adds to a request to an endpoint.
-type Send struct {
+// SendMeta is the metadata that the system adds to a request to an endpoint.
+type SendMeta struct {
 	// Endpoint is the endpoint that must answer; any other process at the address refuses.
 	Endpoint  ident.Process
 	Workspace string
@@ -52,13 +52,13 @@
 	// Fetch is the address of an engine from which this one fetches the parts of the prompt that
 	// it hasn't cached itself; empty for none.
 	Fetch string
-	// After is the ID of the last stream event that the caller has received; empty for a new
+	// LastEvent is the ID of the last stream event that the caller has received; empty for a new
 	// stream.
-	After string
+	LastEvent string
 }
 
-// Reply is the metadata of an endpoint's response, beside status and body.
-type Reply struct {
+// ReplyMeta is the metadata of an endpoint's response, beside status and body.
+type ReplyMeta struct {
 	// ID identifies the request that the endpoint answers.
 	ID string
 	// Signed is set if the response carries the endpoint's signature.
@@ -105,7 +105,7 @@
 	// Request identifies the caller's request, Stage and Piece the item.
 	Request string
 	Stage   int
-	Piece   int
+	Index   int
 	// Left is how long the result is of use.
 	Left clock.Milli
 	// Key is the input of an item of a first stage; Inputs are the handles of the results that an
@@ -114,29 +114,29 @@
 	Inputs []string
 }
 
-//go:generate go tool stringer -type=Flaw -linecomment -output=flaw_string.go
+//go:generate go tool stringer -type=Failure -linecomment -output=failure_string.go
 
-// Flaw is the reason why an item failed.
-type Flaw int
+// Failure is the reason why an item failed.
+type Failure int
 
 // Reasons why an item failed.
 const (
-	// NoFlaw: the item succeeded.
-	NoFlaw Flaw = iota // none
+	// NoFailure: the item succeeded.
+	NoFailure Failure = iota // none
 	// Late: the item's deadline has passed.
 	Late // too late
-	// InputGone: an input of the item was lost.
-	InputGone // an input is gone
+	// InputLost: an input of the item was lost.
+	InputLost // an input is gone
 	// NoRoom: the endpoint had no storage for the result.
 	NoRoom // no room
 	// Broken: the endpoint failed.
 	Broken // the maker failed
 )
 
-// Made is the outcome of an item: the handle of its result, or the reason why there is none.
-type Made struct {
-	Handle string
-	Flaw   Flaw
+// ItemResult is the outcome of an item: the handle of its result, or the reason why there is none.
+type ItemResult struct {
+	Handle  string
+	Failure Failure
 }
 
 // Document is the operators' document. Offset orders documents, below 0 if there is none; End is the
@@ -150,16 +150,16 @@
 // Dialect implements the protocols of callers, endpoints and the store.
 type Dialect struct {
 	// Read reads the metadata of a caller's request.
-	Read func(req *http.Request) (Ask, error)
-	// Drop lists the headers, in canonical form, that are removed from callers' requests before
+	Read func(req *http.Request) (RequestMeta, error)
+	// DropHeaders lists the headers, in canonical form, that are removed from callers' requests before
 	// these are forwarded to endpoints.
-	Drop []string
-	// Dress sets the system's own headers on a request to an endpoint.
-	Dress func(hdr http.Header, snd Send)
+	DropHeaders []string
+	// SetHeaders sets the system's own headers on a request to an endpoint.
+	SetHeaders func(hdr http.Header, snd SendMeta)
 	// Reply reads the metadata of an endpoint's response. Strip removes the headers that are
 	// meant for the system only.
-	Reply func(res *http.Response) Reply
-	Strip func(hdr http.Header)
+	Reply        func(res *http.Response) ReplyMeta
+	StripHeaders func(hdr http.Header)
 	// EventName returns the ID of a stream event, if it has one.
 	EventName func(event []byte) (string, bool)
 
@@ -170,17 +170,17 @@
 	// may keep them.
 	Entries func(addrs []string, keep clock.Milli) any
 
-	// Run processes items as one batch. If the endpoint refuses the whole batch, Run returns
+	// RunBatch processes items as one batch. If the endpoint refuses the whole batch, Run returns
 	// ErrFull.
-	Run func(ctx context.Context, cli *http.Client, ep Endpoint, items []Item) ([]Made, Reply, error)
+	RunBatch func(ctx context.Context, cli *http.Client, ep Endpoint, items []Item) ([]ItemResult, ReplyMeta, error)
 	// Free releases results at their endpoint.
 	Free func(ctx context.Context, cli *http.Client, addr string, handles []string) error
 
-	// Room asks a stage endpoint for an upper bound of its free result storage, in bytes.
-	Room func(ctx context.Context, cli *http.Client, ep Endpoint) (int64, error)
+	// FreeStorage asks a stage endpoint for an upper bound of its free result storage, in bytes.
+	FreeStorage func(ctx context.Context, cli *http.Client, ep Endpoint) (int64, error)
 
-	// Held asks a model engine which parts of prompts it has cached.
-	Held func(ctx context.Context, cli *http.Client, ep Endpoint) ([]place.Part, error)
+	// CachedParts asks a model engine which parts of prompts it has cached.
+	CachedParts func(ctx context.Context, cli *http.Client, ep Endpoint) ([]place.Part, error)
 
 	// Compile compiles a document into a plan.
 	Compile func(text []byte) (*plan.Plan, []error)
@@ -205,6 +205,6 @@
 	// Announce writes the instance's own entry, Withdraw removes entries by name.
 	Announce func(ctx context.Context, inst Instance) error
 	Withdraw func(ctx context.Context, names ...string) error
-	// Keep replaces the record that the instances keep beside their entries; nil removes it.
-	Keep func(ctx context.Context, kept []byte) error
+	// PutShared replaces the record that the instances keep beside their entries; nil removes it.
+	PutShared func(ctx context.Context, kept []byte) error
 }
--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -19,9 +19,9 @@
 	maxUnanswered = 3
 )
 
-// Ended reports whether the process at an address has ended: connections to it are refused. It
+// ProcessEnded reports whether the process at an address has ended: connections to it are refused. It
 // returns false if the address can't be reached, or if another process already listens there.
-func Ended(ctx context.Context, addr string) bool {
+func ProcessEnded(ctx context.Context, addr string) bool {
 	dlr := Dialer()
 	return isCrashed(ctx, func(ctx context.Context) (net.Conn, error) { return dlr.DialContext(ctx, "tcp", addr) })
 }
--- a/internal/relay/crash_test.go
+++ b/internal/relay/crash_test.go
@@ -17,10 +17,10 @@
 	gom := gomega.NewWithT(t)
 	lsn, err := net.Listen("tcp", "127.0.0.1:0")
 	gom.Expect(err).NotTo(gomega.HaveOccurred())
-	gom.Expect(Ended(t.Context(), lsn.Addr().String())).To(gomega.BeFalse())
+	gom.Expect(ProcessEnded(t.Context(), lsn.Addr().String())).To(gomega.BeFalse())
 	time.AfterFunc(crashCheckInterval/2, func() { _ = lsn.Close() })
-	gom.Expect(Ended(t.Context(), lsn.Addr().String())).To(gomega.BeTrue())
-	gom.Expect(Ended(t.Context(), lsn.Addr().String())).To(gomega.BeTrue())
+	gom.Expect(ProcessEnded(t.Context(), lsn.Addr().String())).To(gomega.BeTrue())
+	gom.Expect(ProcessEnded(t.Context(), lsn.Addr().String())).To(gomega.BeTrue())
 }
 
 // Guards against missing a crash because a packet was lost, and against dialling for ever.
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -8,22 +8,22 @@
 // maxEventBytes bounds one event; the stream counts as cut at a longer one.
 const maxEventBytes = 1 << 20
 
-// Events splits a stream into whole server-sent events. An engine may fail in the middle of one; a
+// EventReader splits a stream into whole server-sent events. An engine may fail in the middle of one; a
 // partial event has not reached the caller, so the stream can be resumed elsewhere after the last
 // whole one.
-type Events struct {
+type EventReader struct {
 	rdr io.Reader
 	buf []byte
 	err error
 }
 
-// NewEvents returns a reader of the events of a stream.
-func NewEvents(rdr io.Reader) *Events { return &Events{rdr: rdr} }
+// NewEventReader returns a reader of the events of a stream.
+func NewEventReader(rdr io.Reader) *EventReader { return &EventReader{rdr: rdr} }
 
 // Next returns the next event with the empty line that ends it. At the end of a stream that was
 // closed properly it returns whatever follows the last event, and then io.EOF. Any other error
 // means that the stream was cut.
-func (evr *Events) Next() ([]byte, error) {
+func (evr *EventReader) Next() ([]byte, error) {
 	for {
 		if end := eventEnd(evr.buf); end > 0 {
 			event := bytes.Clone(evr.buf[:end])
@@ -37,7 +37,7 @@
 	}
 }
 
-func (evr *Events) rest() ([]byte, error) {
+func (evr *EventReader) rest() ([]byte, error) {
 	if evr.err == io.EOF && len(evr.buf) > 0 {
 		rest := evr.buf
 		evr.buf = nil
@@ -46,7 +46,7 @@
 	return nil, evr.err
 }
 
-func (evr *Events) read() {
+func (evr *EventReader) read() {
 	var part [16 << 10]byte
 	n, err := evr.rdr.Read(part[:])
 	evr.buf = append(evr.buf, part[:n]...)
--- a/internal/relay/events_test.go
+++ b/internal/relay/events_test.go
@@ -15,7 +15,7 @@
 func TestEventsAreWhole(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	cut := errors.New("reset")
-	evr := NewEvents(io.MultiReader(strings.NewReader("id: 1\n\nid: 2\r\n\r\nid: 3\nda"), iotest.ErrReader(cut)))
+	evr := NewEventReader(io.MultiReader(strings.NewReader("id: 1\n\nid: 2\r\n\r\nid: 3\nda"), iotest.ErrReader(cut)))
 	for _, want := range []string{"id: 1\n\n", "id: 2\r\n\r\n"} {
 		event, err := evr.Next()
 		gom.Expect(err).NotTo(gomega.HaveOccurred())
@@ -30,7 +30,7 @@
 	f.Add("id: 1\n\nid: 2\r\n\r\nrest")
 	f.Add("\n\n\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		evr := NewEvents(iotest.OneByteReader(strings.NewReader(text)))
+		evr := NewEventReader(iotest.OneByteReader(strings.NewReader(text)))
 		var out strings.Builder
 		for {
 			event, err := evr.Next()
--- a/internal/relay/observe.go
+++ b/internal/relay/observe.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Heard is called with each answer from an address and the time since its request was sent.
-type Heard func(addr string, res *http.Response, ago time.Duration)
+// Observer is called with each answer from an address and the time since its request was sent.
+type Observer func(addr string, res *http.Response, ago time.Duration)
 
-// observedTransport passes the answers of a transport to a [Heard] function.
+// observedTransport passes the answers of a transport to a [Observer] function.
 type observedTransport struct {
 	next    http.RoundTripper
-	observe Heard
+	observe Observer
 }
 
 func (obt *observedTransport) RoundTrip(req *http.Request) (*http.Response, error) {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -17,7 +17,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/pkg/ending"
 )
 
@@ -52,9 +52,9 @@
 	}
 }
 
-// Kept returns a client that reuses connections, for calls that may be repeated; idle connections
+// PooledClient returns a client that reuses connections, for calls that may be repeated; idle connections
 // are closed after idle. obs is called with each answer; it may be nil.
-func Kept(idle time.Duration, obs Heard) *http.Client {
+func PooledClient(idle time.Duration, obs Observer) *http.Client {
 	return &http.Client{
 		Transport: &observedTransport{observe: obs, next: &http.Transport{
 			DialContext: Dialer().DialContext, DisableCompression: true,
@@ -69,12 +69,12 @@
 
 // Relay forwards requests to endpoints. It is created by [New] and safe for concurrent use.
 type Relay struct {
-	dia *talk.Dialect
+	dia *proto.Dialect
 	trn http.RoundTripper
 }
 
 // New returns a relay for a dialect. obs is called with each answer; it may be nil.
-func New(dia *talk.Dialect, obs Heard) *Relay {
+func New(dia *proto.Dialect, obs Observer) *Relay {
 	return &Relay{dia: dia, trn: &observedTransport{observe: obs, next: &http.Transport{
 		DialContext: dialAllowed(Dialer()), DisableCompression: true,
 		// No connection is reused. DisableKeepAlives would achieve that too, but sends "Connection:
@@ -93,8 +93,8 @@
 	Target string
 	Header http.Header
 	Body   []byte
-	// Written is called when the request has been written to an endpoint; it may be nil.
-	Written func()
+	// OnWritten is called when the request has been written to an endpoint; it may be nil.
+	OnWritten func()
 	// Allowed is called when a connection has been established, before anything is written: opening
 	// one takes up to a second, and earlier checks may no longer hold. It may be nil.
 	Allowed func() bool
@@ -104,7 +104,7 @@
 type Response struct {
 	Status int
 	Header http.Header
-	Reply  talk.Reply
+	Reply  proto.ReplyMeta
 	Body   io.ReadCloser
 	Length int64
 	// Framed is set if the body has a length or is chunked; otherwise it ends with its connection.
@@ -119,7 +119,7 @@
 
 // Do sends a request to an endpoint. The response is nil unless it answers this request; a refusal
 // comes with its response.
-func (rel *Relay) Do(ctx context.Context, addr string, rqs Request, snd talk.Send) (*Response, ending.Ending) {
+func (rel *Relay) Do(ctx context.Context, addr string, rqs Request, snd proto.SendMeta) (*Response, ending.Ending) {
 	var connected atomic.Bool
 	req, err := rel.request(ctx, addr, rqs, snd, &connected)
 	if err != nil {
@@ -146,7 +146,7 @@
 		_ = res.Body.Close()
 		return nil, end
 	}
-	rel.dia.Strip(rsp.Header)
+	rel.dia.StripHeaders(rsp.Header)
 	dropHop(rsp.Header)
 	return rsp, end
 }
@@ -165,7 +165,7 @@
 	return ending.Answered
 }
 
-func (rel *Relay) request(ctx context.Context, addr string, rqs Request, snd talk.Send, connected *atomic.Bool) (*http.Request, error) {
+func (rel *Relay) request(ctx context.Context, addr string, rqs Request, snd proto.SendMeta, connected *atomic.Bool) (*http.Request, error) {
 	path, query, hasQuery := strings.Cut(rqs.Target, "?")
 	req := &http.Request{
 		Method: rqs.Method, Host: rqs.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
@@ -173,10 +173,10 @@
 		Header: rqs.Header.Clone(),
 	}
 	dropHop(req.Header)
-	for _, name := range rel.dia.Drop {
+	for _, name := range rel.dia.DropHeaders {
 		req.Header.Del(name)
 	}
-	rel.dia.Dress(req.Header, snd)
+	rel.dia.SetHeaders(req.Header, snd)
 	// Otherwise net/http would set its own User-Agent when the caller sent none.
 	if _, ok := req.Header["User-Agent"]; !ok {
 		req.Header["User-Agent"] = nil
@@ -184,7 +184,7 @@
 	if len(rqs.Body) > 0 {
 		req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(rqs.Body)), int64(len(rqs.Body))
 	}
-	return req.WithContext(withTrace(withAllowed(ctx, rqs.Allowed), connected, rqs.Written)), nil
+	return req.WithContext(withTrace(withAllowed(ctx, rqs.Allowed), connected, rqs.OnWritten)), nil
 }
 
 // dropHop removes the hop-by-hop headers, including those that the Connection header lists.
--- a/internal/serve/draining.go
+++ b/internal/serve/draining.go
@@ -10,23 +10,23 @@
 	"golang.org/x/net/netutil"
 )
 
-// Draining is a server with fixed limits whose planned shutdown answers requests on all connections
-// that it has accepted. It is created by [NewDraining].
-type Draining struct {
+// DrainServer is a server with fixed limits whose planned shutdown answers requests on all connections
+// that it has accepted. It is created by [NewDrainServer].
+type DrainServer struct {
 	lsn       *queueListener
 	srv       *http.Server
 	liveConns atomic.Int64
 }
 
-// NewDraining returns a server like [Plain] on a listener, with at most most connections at a time.
+// NewDrainServer returns a server like [NewPlain] on a listener, with at most most connections at a time.
 // The connections in the kernel's accept queue at shutdown are accepted beyond that limit.
-func NewDraining(handler http.Handler, lsn net.Listener, most int) *Draining {
-	drn := &Draining{lsn: &queueListener{Listener: netutil.LimitListener(lsn, most), raw: lsn}, srv: Plain(handler)}
+func NewDrainServer(handler http.Handler, lsn net.Listener, most int) *DrainServer {
+	drn := &DrainServer{lsn: &queueListener{Listener: netutil.LimitListener(lsn, most), raw: lsn}, srv: NewPlain(handler)}
 	drn.srv.ConnState = drn.countConn
 	return drn
 }
 
-func (drn *Draining) countConn(_ net.Conn, state http.ConnState) {
+func (drn *DrainServer) countConn(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
 		drn.liveConns.Add(1)
@@ -36,14 +36,14 @@
 }
 
 // Serve accepts connections until the listener is closed.
-func (drn *Draining) Serve() {
+func (drn *DrainServer) Serve() {
 	drn.liveConns.Add(1)
 	defer drn.liveConns.Add(-1)
 	_ = drn.srv.Serve(drn.lsn)
 }
 
 // Shutdown closes the listener and waits like [Server.Shutdown].
-func (drn *Draining) Shutdown(ctx context.Context) {
+func (drn *DrainServer) Shutdown(ctx context.Context) {
 	drn.lsn.drain()
 	drn.srv.SetKeepAlivesEnabled(false)
 	waitIdle(ctx, &drn.liveConns)
@@ -51,7 +51,7 @@
 }
 
 // Close closes all connections at once.
-func (drn *Draining) Close() { _ = drn.srv.Close() }
+func (drn *DrainServer) Close() { _ = drn.srv.Close() }
 
 // waitIdle waits until no connection is left or the context ends.
 func waitIdle(ctx context.Context, live *atomic.Int64) {
--- a/internal/serve/plain.go
+++ b/internal/serve/plain.go
@@ -13,9 +13,9 @@
 	idleTimeout   = 90 * time.Second
 )
 
-// Plain returns a server that bounds what a slow or hostile sender can hold. It has no write timeout:
+// NewPlain returns a server that bounds what a slow or hostile sender can hold. It has no write timeout:
 // streams last until their deadline, and each event has a timeout of its own.
-func Plain(handler http.Handler) *http.Server {
+func NewPlain(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler: handler, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: HeaderTimeout,
 		ReadTimeout: bodyTimeout, IdleTimeout: idleTimeout,
--- a/internal/serve/router.go
+++ b/internal/serve/router.go
@@ -15,10 +15,10 @@
 // long before it would.
 const shutdownNever = 1000 * time.Hour
 
-// Router builds go-zero's router without its middlewares: each of them can refuse a request (by load,
+// NewRouter builds go-zero's router without its middlewares: each of them can refuse a request (by load,
 // breaker, time or size) with a response of its own, and one buffers responses, so that a stream's
 // tokens would arrive all at once.
-func Router(routes []rest.Route) (http.Handler, error) {
+func NewRouter(routes []rest.Route) (http.Handler, error) {
 	srv, err := rest.NewServer(rest.RestConf{
 		ServiceConf: service.ServiceConf{
 			Name:     "amvnode",
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -39,8 +39,8 @@
 
 // Limits are the timeouts of a connection.
 type Limits struct {
-	Header clock.Milli
-	Idle   clock.Milli
+	HeaderTimeout clock.Milli
+	IdleTimeout   clock.Milli
 }
 
 // Server accepts connections. It is created by [New].
@@ -70,11 +70,11 @@
 
 // SetLimits sets the limits of connections accepted from now on; zeros stand for the defaults.
 func (srv *Server) SetLimits(lim Limits) {
-	if lim.Header <= 0 {
-		lim.Header = defaultHeaderTimeout
+	if lim.HeaderTimeout <= 0 {
+		lim.HeaderTimeout = defaultHeaderTimeout
 	}
-	if lim.Idle <= 0 {
-		lim.Idle = defaultIdleTimeout
+	if lim.IdleTimeout <= 0 {
+		lim.IdleTimeout = defaultIdleTimeout
 	}
 	srv.mtx.Lock()
 	defer srv.mtx.Unlock()
@@ -84,8 +84,8 @@
 	srv.limits = lim
 	srv.newest = &connListener{addr: srv.lsn.Addr(), conns: make(chan net.Conn, maxPendingConns), done: make(chan struct{})}
 	one := &http.Server{
-		Handler: inspectHeads(srv.handler), ConnContext: withHeadConn, MaxHeaderBytes: maxRawHeader, ReadHeaderTimeout: lim.Header.Duration(),
-		ReadTimeout: bodyTimeout, IdleTimeout: lim.Idle.Duration(), ConnState: srv.countConn,
+		Handler: inspectHeads(srv.handler), ConnContext: withHeadConn, MaxHeaderBytes: maxRawHeader, ReadHeaderTimeout: lim.HeaderTimeout.Duration(),
+		ReadTimeout: bodyTimeout, IdleTimeout: lim.IdleTimeout.Duration(), ConnState: srv.countConn,
 		BaseContext: func(net.Listener) context.Context { return srv.base },
 	}
 	srv.servers = append(srv.servers, one)
@@ -139,9 +139,9 @@
 	waitIdle(ctx, &srv.liveConns)
 }
 
-// GiveUp aborts the requests in flight. Callers without a response get one that says whether their
+// Abort aborts the requests in flight. Callers without a response get one that says whether their
 // request may have run, which a closed connection doesn't.
-func (srv *Server) GiveUp() {
+func (srv *Server) Abort() {
 	srv.abort(ErrAborted)
 	ctx, cancel := context.WithTimeout(context.Background(), abortGrace)
 	defer cancel()
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -113,7 +113,7 @@
 			return srv.Serve, func() { srv.Shutdown(t.Context()) }
 		},
 		"plain": func(lsn net.Listener) (serve, shutdown func()) {
-			drn := NewDraining(wholeHandler(), lsn, 2)
+			drn := NewDrainServer(wholeHandler(), lsn, 2)
 			return drn.Serve, func() { drn.Shutdown(t.Context()) }
 		},
 	} {
--- a/internal/shell/routed.go
+++ b/internal/shell/routed.go
@@ -11,7 +11,7 @@
 	"amaranthvalve/internal/conf"
 	"amaranthvalve/internal/early"
 	"amaranthvalve/internal/node"
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/internal/zlog"
 )
 
@@ -26,7 +26,7 @@
 
 // runRouted runs an instance that speaks a dialect until SIGTERM or SIGINT. Its
 // settings are read again on SIGHUP and when the file has changed.
-func runRouted(con *console, path string, set *conf.Settings, dia *talk.Dialect, sgs early.Signals) error {
+func runRouted(con *console, path string, set *conf.Settings, dia *proto.Dialect, sgs early.Signals) error {
 	lvl, err := zerolog.ParseLevel(set.LogLevel())
 	if err != nil {
 		lvl = zerolog.InfoLevel
--- a/internal/stage/attempt.go
+++ b/internal/stage/attempt.go
@@ -49,7 +49,7 @@
 			return "", try.time(ep, 0), res
 		}
 		if try.budget() < minRest {
-			try.pl.finish(ep.ID, route.Neutral, 0, try.rnr.clk.Now())
+			try.pl.finish(ep.ID, route.Cancelled, 0, try.rnr.clk.Now())
 			return "", try.time(ep, 0), outcm.New(outcm.NotRun, outcm.DeadlinePassed, "no time is left for stage "+try.stg.Name())
 		}
 		ran, end, took := try.once(ctx, ep)
--- a/internal/stage/job.go
+++ b/internal/stage/job.go
@@ -80,13 +80,13 @@
 
 // way gives the time from a stage's beginning to the answer by an estimate.
 func (job *Job) way(stg int, how estimate) clock.Milli {
-	return job.Doc.Graph().Ways(job.needs(how))[stg]
+	return job.Doc.Graph().PathTimes(job.needs(how))[stg]
 }
 
 func (job *Job) ask(need clock.Milli) admit.Ask {
 	return admit.Ask{
 		Workspace: job.Workspace.Name(), Share: job.Workspace.Share(),
-		Priority: job.Doc.Priority(), Deadline: job.Deadline, Need: need,
+		Priority: job.Doc.Priority(), Deadline: job.Deadline, Estimate: need,
 	}
 }
 
@@ -173,7 +173,7 @@
 	try := &attempt{
 		rnr: rnr, job: job, stg: stg, index: i, taken: taken,
 		pl: rnr.pool(stg.Pool()), last: i == job.Doc.Stages()-1,
-		bounds: retry.For(job.Doc.Weighs() == svcdoc.Cost),
+		bounds: retry.BoundsFor(job.Doc.Weighs() == svcdoc.Cost),
 	}
 	try.pl.first()
 	if stg.Kind() == svcdoc.Generate {
--- a/internal/stage/pool.go
+++ b/internal/stage/pool.go
@@ -25,7 +25,7 @@
 
 type grant struct {
 	ep   route.Endpoint
-	word admit.Word
+	word admit.Outcome
 }
 
 func newPool(zone string) *pool {
@@ -38,7 +38,7 @@
 func (pl *pool) acquire(ctx context.Context, ask route.Ask, adm admit.Ask, clk clock.Clock) (route.Endpoint, outcm.Result) {
 	granted := make(chan grant, 1)
 	pl.mtx.Lock()
-	ep, tkt, ans := pl.gate.Enter(ask, adm, clk.Now(), func(ep route.Endpoint, word admit.Word) { granted <- grant{ep: ep, word: word} })
+	ep, tkt, ans := pl.gate.Enter(ask, adm, clk.Now(), func(ep route.Endpoint, word admit.Outcome) { granted <- grant{ep: ep, word: word} })
 	pl.mtx.Unlock()
 	switch ans {
 	case admit.Granted:
@@ -72,7 +72,7 @@
 	case grt := <-granted:
 		// The turn came in the same moment: hand the place back.
 		if grt.word == admit.Served {
-			pl.finish(grt.ep.ID, route.Neutral, 0, 0)
+			pl.finish(grt.ep.ID, route.Cancelled, 0, 0)
 		}
 	default:
 	}
@@ -90,11 +90,11 @@
 func (pl *pool) refuse(rs outcm.Reason, detail string) outcm.Result {
 	pl.mtx.Lock()
 	defer pl.mtx.Unlock()
-	return outcm.Refuse(rs, retry.After(comeBack, 1, pl.rng), detail)
+	return outcm.Refuse(rs, retry.Backoff(comeBack, 1, pl.rng), detail)
 }
 
 // finish gives a place back and serves those who wait.
-func (pl *pool) finish(id string, ver route.Verdict, took, now clock.Milli) {
+func (pl *pool) finish(id string, ver route.Outcome, took, now clock.Milli) {
 	pl.mtx.Lock()
 	defer pl.mtx.Unlock()
 	pl.gate.Finish(id, ver, took, now)
@@ -110,11 +110,11 @@
 func (pl *pool) mayRetry(bnd retry.Bounds) bool {
 	pl.mtx.Lock()
 	defer pl.mtx.Unlock()
-	return pl.gate.MayRetry(bnd)
+	return pl.gate.TakeRetry(bnd)
 }
 
 func (pl *pool) first() {
 	pl.mtx.Lock()
 	defer pl.mtx.Unlock()
-	pl.gate.First()
+	pl.gate.RecordAttempt()
 }
--- a/internal/stage/runner.go
+++ b/internal/stage/runner.go
@@ -39,8 +39,8 @@
 // token would take the first one's cost, the prompt's, for every token, and
 // refuse long answers after a few short ones.
 type need struct {
-	whole admit.Need
-	gap   admit.Need
+	whole admit.Estimator
+	gap   admit.Estimator
 }
 
 // New returns a runner without endpoints. left is called when an endpoint says
@@ -157,14 +157,14 @@
 
 // typical and careful give a stage's expected and cautious time.
 func (rnr *Runner) typical(doc *svcdoc.Document, i, tokens int) clock.Milli {
-	return rnr.guess(doc, i, tokens, (*admit.Need).Typical)
+	return rnr.guess(doc, i, tokens, (*admit.Estimator).Mean)
 }
 
 func (rnr *Runner) careful(doc *svcdoc.Document, i, tokens int) clock.Milli {
-	return rnr.guess(doc, i, tokens, (*admit.Need).Careful)
+	return rnr.guess(doc, i, tokens, (*admit.Estimator).Upper)
 }
 
-func (rnr *Runner) guess(doc *svcdoc.Document, i, tokens int, how func(ned *admit.Need, guess, now clock.Milli) clock.Milli) clock.Milli {
+func (rnr *Runner) guess(doc *svcdoc.Document, i, tokens int, how func(ned *admit.Estimator, guess, now clock.Milli) clock.Milli) clock.Milli {
 	stg := doc.Stage(i)
 	rnr.mtx.Lock()
 	defer rnr.mtx.Unlock()
@@ -205,7 +205,7 @@
 		pl := rnr.pool(job.Doc.Stage(i).Pool())
 		pl.mtx.Lock()
 		usable := pl.gate.Pool().Usable()
-		wait := pl.gate.Queue().Wait(job.ask(0))
+		wait := pl.gate.Queue().EstimateWait(job.ask(0))
 		pl.mtx.Unlock()
 		if usable == 0 {
 			return pl.refuse(outcm.NoEndpoint, "pool "+job.Doc.Stage(i).Pool()+" has no endpoint that takes work")
@@ -214,7 +214,7 @@
 	}
 	sum := job.Doc.Graph().Longest(func(stg int) clock.Milli { return waits[stg] + job.needs(rnr.careful)(stg) })
 	left := job.Deadline - rnr.clk.Now()
-	if (admit.Times{Need: sum, Left: left, InTime: left}).Judge() != admit.LetIn {
+	if (admit.Budget{Estimate: sum, ToDeadline: left, ToTarget: left}).Judge() != admit.LetIn {
 		res := rnr.pool(job.Doc.Stage(0).Pool()).refuse(outcm.DeadlineTooShort, "waits and stages are expected to take longer than the deadline")
 		return outcm.Refuse(res.Reason(), max(res.RetryAfter(), worst), res.Detail())
 	}
