--- a/internal/state/control.go
+++ b/internal/state/control.go
@@ -11,7 +11,7 @@
 	"amaranthvalve/internal/loop"
 	"amaranthvalve/internal/meter"
 	"amaranthvalve/internal/peer"
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/ident"
 	"amaranthvalve/pkg/member"
@@ -38,18 +38,18 @@
 	// Capacity is the size of this instance in cores; zero counts as 1.
 	Capacity float64
 	Clock    clock.Clock
-	Store    talk.Store
+	Store    proto.Store
 	Meter    *meter.Meter
 	Log      zerolog.Logger
 	// Dialect compiles documents.
-	Dialect *talk.Dialect
+	Dialect *proto.Dialect
 	// Link is nil for an instance that runs alone.
 	Link *peer.Link
-	// TokensFor is the maximum age of a view by which tokens are accepted; zero means no bound.
-	TokensFor clock.Milli
-	// Changed is called on the control loop with each new view whose plan, endpoints or endpoint
+	// TokenMaxViewAge is the maximum age of a view by which tokens are accepted; zero means no bound.
+	TokenMaxViewAge clock.Milli
+	// OnChange is called on the control loop with each new view whose plan, endpoints or endpoint
 	// rates differ from those of the view before.
-	Changed func(vw *View)
+	OnChange func(vw *View)
 }
 
 // Control owns the control state of an instance. It is made by [New].
@@ -97,7 +97,7 @@
 	ctl.list.SetCapacity(set.Capacity)
 	ctl.group = group.Group{
 		Self: set.Self, List: ctl.list, Link: set.Link, Offer: ctl.loop.Offer, Go: ctl.loop.Go,
-		Now: set.Clock.Now, Dress: ctl.attachState, Heard: ctl.receive,
+		Now: set.Clock.Now, Attach: ctl.attachState, OnMessage: ctl.receive,
 	}
 	ctl.docs.ctl, ctl.docs.offset = ctl, -1
 	ctl.endpts = endptsCtl{ctl: ctl, leaving: map[ident.Process]clock.Milli{}, otherUpSince: never}
@@ -111,10 +111,10 @@
 // View returns the current view.
 func (ctl *Control) View() *View { return ctl.view.Load() }
 
-// Whole returns the current view. Within [startupWait] of the start it waits for a view by which
+// WaitServable returns the current view. Within [startupWait] of the start it waits for a view by which
 // requests can be served: a caller that is refused meanwhile has used up one of its few attempts,
 // and hundreds of simultaneous retries would add to the load that comes later.
-func (ctl *Control) Whole(ctx context.Context) *View {
+func (ctl *Control) WaitServable(ctx context.Context) *View {
 	vw := ctl.View()
 	left := startupWait - ctl.set.Clock.Since(ctl.startedAt)
 	if vw.servable() || left <= 0 {
@@ -151,7 +151,7 @@
 	ctl.endpts.step(now)
 	ctl.facts.step(now)
 	ctl.set.Meter.Set(meter.GaugeLogAge, float64(now-ctl.docs.asOf))
-	ctl.set.Meter.Set(meter.GaugeEventQueue, float64(ctl.loop.Waiting()))
+	ctl.set.Meter.Set(meter.GaugeEventQueue, float64(ctl.loop.QueueLen()))
 }
 
 // publish stores a new view. What is derived from the members alone is reused while they are
@@ -160,7 +160,7 @@
 	old := ctl.view.Load()
 	vw := &View{
 		plan: ctl.docs.plan, offset: ctl.docs.offset, asOf: ctl.docs.asOf, endpoints: ctl.endpts.list, endpointsKnown: ctl.endpts.endpointsKnown(), digest: old.digest, pastLists: old.pastLists,
-		members: old.members, homes: old.homes, sources: old.sources, othersFresh: old.othersFresh,
+		members: old.members, coordinators: old.coordinators, sources: old.sources, othersFresh: old.othersFresh,
 		leaving: ctl.leaving, text: ctl.docs.doc.Text, answeredAt: ctl.docs.lastAnswer, storeDelay: ctl.docs.storeDelay,
 		suspects: ctl.facts.suspects, rates: ctl.facts.rates,
 	}
@@ -184,8 +184,8 @@
 		next := make(chan struct{})
 		close(*ctl.viewChanged.Swap(&next))
 	}
-	if (ctl.dirty || ctl.ratesChanged) && ctl.set.Changed != nil {
-		ctl.set.Changed(vw)
+	if (ctl.dirty || ctl.ratesChanged) && ctl.set.OnChange != nil {
+		ctl.set.OnChange(vw)
 	}
 	ctl.dirty, ctl.ratesChanged = false, false
 }
@@ -202,9 +202,9 @@
 	if vw.plan == nil {
 		return
 	}
-	vw.homes = make(map[string][]ident.Incarnation, len(vw.plan.Pools()))
+	vw.coordinators = make(map[string][]ident.Incarnation, len(vw.plan.Pools()))
 	for name := range vw.plan.Pools() {
-		vw.homes[name] = ctl.list.Homes(name)
+		vw.coordinators[name] = ctl.list.Homes(name)
 	}
 }
 
@@ -221,14 +221,14 @@
 	ctl.set.Meter.Set(meter.GaugeApplied, float64(vw.offset))
 }
 
-// Left records that an endpoint announced to a request that it is leaving, or was found to be gone.
-func (ctl *Control) Left(id ident.Process, why string) {
+// EndpointLeaving records that an endpoint announced to a request that it is leaving, or was found to be gone.
+func (ctl *Control) EndpointLeaving(id ident.Process, why string) {
 	ctl.loop.Offer(func(now clock.Milli) { ctl.endpts.markLeaving(id, why, now) })
 }
 
-// Doubt reports that another instance did not answer a request, and has it probed.
-func (ctl *Control) Doubt(who ident.Incarnation) {
-	ctl.loop.Offer(func(now clock.Milli) { ctl.group.Doubt(who, now) })
+// Suspect reports that another instance did not answer a request, and has it probed.
+func (ctl *Control) Suspect(who ident.Incarnation) {
+	ctl.loop.Offer(func(now clock.Milli) { ctl.group.Suspect(who, now) })
 }
 
 // Leave starts a planned shutdown: the other instances are notified at once, and this instance is
@@ -239,7 +239,7 @@
 		ctl.step(now)
 		for _, mbr := range ctl.list.All() {
 			if mbr.Who() != ctl.set.Self {
-				ctl.group.Greet(mbr.Who().Addr(), mbr.Who())
+				ctl.group.Probe(mbr.Who().Addr(), mbr.Who())
 			}
 		}
 	})
--- a/internal/state/discover.go
+++ b/internal/state/discover.go
@@ -7,7 +7,7 @@
 
 	"amaranthvalve/internal/loop"
 	"amaranthvalve/internal/peer"
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/ident"
 	"amaranthvalve/pkg/member"
@@ -53,7 +53,7 @@
 			ctl.loop.Go(ctl.announce)
 		}
 		pause(ctx, lookupIntervals[min(turn, len(lookupIntervals)-1)])
-		for err == nil && turn >= len(lookupIntervals)-1 && ctl.Follows() && ctx.Err() == nil {
+		for err == nil && turn >= len(lookupIntervals)-1 && ctl.IsFollower() && ctx.Err() == nil {
 			// Readers look up instances for all; gossip spreads the new ones.
 			pause(ctx, lookupIntervals[len(lookupIntervals)-1])
 		}
@@ -70,13 +70,13 @@
 	return none
 }
 
-// Met returns a channel that is closed once this instance has learned of the others, from the store
+// MembersKnown returns a channel that is closed once this instance has learned of the others, from the store
 // or from one of them.
-func (ctl *Control) Met() <-chan struct{} { return ctl.membersLoaded.ch }
+func (ctl *Control) MembersKnown() <-chan struct{} { return ctl.membersLoaded.ch }
 
 // lookUp reads the instance entries from the store. Our own entry is written again if it should be
 // there and is not.
-func (ctl *Control) lookUp(ctx context.Context) ([]talk.Instance, error) {
+func (ctl *Control) lookUp(ctx context.Context) ([]proto.Instance, error) {
 	if ctl.storeDown(ctx) {
 		return nil, errStoreDown
 	}
@@ -88,7 +88,7 @@
 		return nil, err
 	}
 	ctl.loop.Do(ctx, func(now clock.Milli) { ctl.facts.loadStored(kept, now) })
-	ours := func(inst talk.Instance) bool { return inst.Name == string(ctl.set.Self) }
+	ours := func(inst proto.Instance) bool { return inst.Name == string(ctl.set.Self) }
 	if announced && !slices.ContainsFunc(list, ours) {
 		ctl.announceAgain()
 	}
@@ -106,7 +106,7 @@
 // lookups of instances that start at the same time.
 func (ctl *Control) announce(ctx context.Context) {
 	pause(ctx, announceDelay)
-	me := talk.Instance{
+	me := proto.Instance{
 		Name: string(ctl.set.Self), Addr: ctl.set.Self.Addr(), Zone: ctl.set.Zone, Caller: ctl.set.Caller, Capacity: ctl.set.Capacity,
 	}
 	for fails := 0; ctx.Err() == nil && !ctl.announced.Load(); fails++ {
@@ -130,11 +130,11 @@
 // while no other instance is known. If many are new, as when all start at once, they are added from
 // their entries instead: pairwise handshakes of hundreds of instances would delay the answers to
 // probes.
-func (ctl *Control) learnInstances(list []talk.Instance, read bool, now clock.Milli) {
+func (ctl *Control) learnInstances(list []proto.Instance, read bool, now clock.Milli) {
 	unknown := ctl.unknown(list)
 	for _, inst := range unknown {
 		if len(unknown) <= maxHandshakes {
-			ctl.group.Greet(inst.Addr, ident.Incarnation(inst.Name))
+			ctl.group.Probe(inst.Addr, ident.Incarnation(inst.Name))
 			continue
 		}
 		ctl.list.Learn([]member.News{{
@@ -144,7 +144,7 @@
 	if len(ctl.list.All()) <= 1 {
 		for _, addr := range ctl.set.Seeds {
 			if addr != ctl.set.Self.Addr() {
-				ctl.group.Greet(addr, "")
+				ctl.group.Probe(addr, "")
 			}
 		}
 	}
@@ -166,7 +166,7 @@
 // row. The entry of an instance that was cut off and taken for dead has been withdrawn; while the
 // instance follows a reader it does not look itself, and starting instances do not find it in the
 // store.
-func (ctl *Control) remindUnlisted(list []talk.Instance) {
+func (ctl *Control) remindUnlisted(list []proto.Instance) {
 	if !ctl.isMaintainer() {
 		ctl.unlisted = nil
 		return
@@ -195,7 +195,7 @@
 	actx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	// A member that misses this is reminded again at the next lookup.
-	_, err := ctl.set.Link.Ask(actx, who.Addr(), peer.Message{Kind: peer.Unlisted, From: ctl.set.Self, To: who})
+	_, err := ctl.set.Link.Call(actx, who.Addr(), peer.Message{Kind: peer.EntryMissing, From: ctl.set.Self, To: who})
 	ctl.set.Log.Info().AnErr("error", err).Str("member", string(who)).Msg("instance entry missing from the store")
 }
 
@@ -204,7 +204,7 @@
 // entries with one address prove nothing, since a write without an answer may be done seconds
 // later. When all instances are replaced at once, this lets them agree on the members within two
 // seconds; by gossip it takes a quarter of a minute at 71 instances.
-func (ctl *Control) endReplaced(list []talk.Instance, now clock.Milli) {
+func (ctl *Control) endReplaced(list []proto.Instance, now clock.Milli) {
 	names, addrs := map[string]bool{}, map[string]bool{}
 	for _, inst := range list {
 		names[inst.Name], addrs[inst.Addr] = true, true
@@ -219,12 +219,12 @@
 
 // unknown returns the listed instances that are not members yet: of several entries with one
 // address the newest, since the others are of ended processes.
-func (ctl *Control) unknown(list []talk.Instance) []talk.Instance {
-	newest := map[string]talk.Instance{}
+func (ctl *Control) unknown(list []proto.Instance) []proto.Instance {
+	newest := map[string]proto.Instance{}
 	for _, inst := range list {
 		newest[inst.Addr] = inst
 	}
-	var fresh []talk.Instance
+	var fresh []proto.Instance
 	for _, inst := range newest {
 		if _, ok := ctl.list.Find(ident.Incarnation(inst.Name)); !ok && inst.Addr != ctl.set.Self.Addr() {
 			fresh = append(fresh, inst)
@@ -236,7 +236,7 @@
 // withdrawEnded removes the entries of ended instances from the store, in one write: after a
 // restart of all instances there are hundreds, and the store processes writes one after another,
 // with the entries of live instances queued behind them.
-func (ctl *Control) withdrawEnded(list []talk.Instance) {
+func (ctl *Control) withdrawEnded(list []proto.Instance) {
 	if !ctl.isMaintainer() {
 		return
 	}
--- a/internal/state/discover_test.go
+++ b/internal/state/discover_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/onsi/gomega"
 
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/pkg/ident"
 	"amaranthvalve/pkg/member"
 )
@@ -18,11 +18,11 @@
 func TestManyNewInstancesNeedNoHandshake(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	ctl := newEndpts().ctl
-	var list []talk.Instance
+	var list []proto.Instance
 	for _, boot := range []string{"old", "new"} {
 		for i := range 86 {
 			addr := fmt.Sprintf("10.0.0.%d:1", i)
-			list = append(list, talk.Instance{Name: addr + "#" + boot, Addr: addr, Zone: "z", Caller: addr, Capacity: 0.4})
+			list = append(list, proto.Instance{Name: addr + "#" + boot, Addr: addr, Zone: "z", Caller: addr, Capacity: 0.4})
 		}
 	}
 	ctl.learnInstances(list, false, 1000)
@@ -43,8 +43,8 @@
 func TestReplacedAreEnded(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	ctl := newEndpts().ctl
-	entry := func(name string) talk.Instance {
-		return talk.Instance{Name: name, Addr: ident.Incarnation(name).Addr(), Zone: "z"}
+	entry := func(name string) proto.Instance {
+		return proto.Instance{Name: name, Addr: ident.Incarnation(name).Addr(), Zone: "z"}
 	}
 	live := func(name string) bool { return ctl.list.IsLive(ident.Incarnation(name)) }
 	learn := func(names ...string) {
@@ -53,11 +53,11 @@
 		}
 	}
 	learn("a:1#old", "a:1#new", "b:1#old", "c:1#old")
-	ctl.learnInstances([]talk.Instance{entry("a:1#old"), entry("b:1#old"), entry("c:1#old")}, true, 1000)
-	ctl.learnInstances([]talk.Instance{entry("a:1#old"), entry("a:1#new"), entry("b:1#old")}, true, 1300)
+	ctl.learnInstances([]proto.Instance{entry("a:1#old"), entry("b:1#old"), entry("c:1#old")}, true, 1000)
+	ctl.learnInstances([]proto.Instance{entry("a:1#old"), entry("a:1#new"), entry("b:1#old")}, true, 1300)
 	gom.Expect(live("a:1#old")).To(gomega.BeTrue(), "its entry may have been written late")
 	gom.Expect(live("c:1#old")).To(gomega.BeTrue(), "no other entry has its address")
-	ctl.learnInstances([]talk.Instance{entry("a:1#new"), entry("b:1#new")}, true, 1800)
+	ctl.learnInstances([]proto.Instance{entry("a:1#new"), entry("b:1#new")}, true, 1800)
 	gom.Expect(live("a:1#old")).To(gomega.BeFalse())
 	gom.Expect(live("b:1#old")).To(gomega.BeFalse())
 	gom.Expect(live("a:1#new")).To(gomega.BeTrue())
--- a/internal/state/docs.go
+++ b/internal/state/docs.go
@@ -11,7 +11,7 @@
 
 	"amaranthvalve/internal/loop"
 	"amaranthvalve/internal/peer"
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/ident"
 	"amaranthvalve/pkg/member"
@@ -51,7 +51,7 @@
 type docsCtl struct {
 	ctl    *Control
 	plan   *plan.Plan
-	doc    talk.Document
+	doc    proto.Document
 	offset int64
 	// asOf is the latest instant at which the documents were known to be the newest.
 	asOf     clock.Milli
@@ -111,7 +111,7 @@
 
 // retryPause returns the pause after a number of consecutive failures.
 func retryPause(fails int) time.Duration {
-	return retry.Spread(min(minRetryPause<<min(fails, maxRetryDoublings), maxRetryPause) / 2).Duration()
+	return retry.Jittered(min(minRetryPause<<min(fails, maxRetryDoublings), maxRetryPause) / 2).Duration()
 }
 
 // followAny follows readers and deputies in turn for a while, when none of them is up to date,
@@ -188,10 +188,10 @@
 // capped returns a span, or the given part of the time for which tokens are accepted if that is
 // shorter.
 func (ctl *Control) capped(span clock.Milli, part float64) clock.Milli {
-	if ctl.set.TokensFor == 0 {
+	if ctl.set.TokenMaxViewAge == 0 {
 		return span
 	}
-	return min(span, clock.Milli(part*float64(ctl.set.TokensFor)))
+	return min(span, clock.Milli(part*float64(ctl.set.TokenMaxViewAge)))
 }
 
 // errStoreDown is returned in place of a call when the last read of the documents failed.
@@ -228,7 +228,7 @@
 
 // apply puts documents into force that were the newest at the instant sent. Older ones than those
 // in force come from a late answer and are ignored: callers must not see documents go back.
-func (dct *docsCtl) apply(doc talk.Document, sent, now clock.Milli, from string) {
+func (dct *docsCtl) apply(doc proto.Document, sent, now clock.Milli, from string) {
 	if doc.Offset < dct.offset {
 		return
 	}
@@ -254,8 +254,8 @@
 // attachState adds the state of this instance to an outgoing message: leaving endpoints, uptime of
 // the store, digest of the facts, and offset and age of the documents.
 func (ctl *Control) attachState(msg *peer.Message) {
-	msg.Left = ctl.endpts.leavingIDs()
-	msg.Up = ctl.endpts.uptime(ctl.set.Clock.Now())
+	msg.Leaving = ctl.endpts.leavingIDs()
+	msg.StoreUptime = ctl.endpts.uptime(ctl.set.Clock.Now())
 	msg.Digest = ctl.facts.spread.Digest()
 	if ctl.docs.plan != nil {
 		msg.Known, msg.Applied, msg.Age = true, ctl.docs.offset, ctl.set.Clock.Since(ctl.docs.asOf)
@@ -265,12 +265,12 @@
 // receive applies what a message carries: leaving endpoints, facts, and documents that are as new
 // as ours or newer. Ages are used only from answers, since only their time in transit is bounded.
 func (ctl *Control) receive(msg peer.Message, sent, now clock.Milli) {
-	for _, id := range msg.Left {
+	for _, id := range msg.Leaving {
 		ctl.endpts.markLeaving(ident.Process(id), "reported by another instance", now)
 	}
 	ctl.facts.receive(msg, sent > 0, now)
 	if sent > 0 {
-		ctl.endpts.recordOtherUptime(msg.Up, sent)
+		ctl.endpts.recordOtherUptime(msg.StoreUptime, sent)
 	}
 	switch {
 	case !msg.Known:
@@ -283,10 +283,10 @@
 
 // snapshot is the state that an instance sends to another one with older documents or none.
 type snapshot struct {
-	Offset    int64           `cbor:"1,keyasint"`
-	Text      []byte          `cbor:"2,keyasint"`
-	Age       clock.Milli     `cbor:"3,keyasint"`
-	Endpoints []talk.Endpoint `cbor:"4,keyasint"`
+	Offset    int64            `cbor:"1,keyasint"`
+	Text      []byte           `cbor:"2,keyasint"`
+	Age       clock.Milli      `cbor:"3,keyasint"`
+	Endpoints []proto.Endpoint `cbor:"4,keyasint"`
 	// Members are all members that the sender knows.
 	Members []member.News `cbor:"5,keyasint,omitempty"`
 }
@@ -301,14 +301,14 @@
 		actx, cancel := context.WithTimeout(ctx, stateTimeout)
 		defer cancel()
 		sent := dct.ctl.set.Clock.Now()
-		ans, err := dct.ctl.set.Link.Ask(actx, from.Addr(), peer.Message{Kind: peer.StateWanted, From: dct.ctl.set.Self, To: from})
+		ans, err := dct.ctl.set.Link.Call(actx, from.Addr(), peer.Message{Kind: peer.GetState, From: dct.ctl.set.Self, To: from})
 		dct.ctl.loop.Do(ctx, func(now clock.Milli) {
 			dct.fetching = false
 			var snp snapshot
 			if err != nil || ans.Kind != peer.OK || cbor.Unmarshal(ans.Body, &snp) != nil {
 				return
 			}
-			dct.apply(talk.Document{Offset: snp.Offset, Text: snp.Text}, sent-snp.Age, now, string(from))
+			dct.apply(proto.Document{Offset: snp.Offset, Text: snp.Text}, sent-snp.Age, now, string(from))
 			dct.ctl.endpts.applySnapshot(snp.Endpoints)
 			dct.ctl.list.Learn(snp.Members, now)
 			dct.ctl.membersLoaded.fire()
@@ -318,8 +318,8 @@
 
 // Handle answers a message of another instance; it is registered with the link.
 func (ctl *Control) Handle(ctx context.Context, msg peer.Message) peer.Message {
-	if msg.Kind == peer.Indirect {
-		return ctl.group.ProbeFor(ctx, msg)
+	if msg.Kind == peer.IndirectProbe {
+		return ctl.group.ProbeIndirect(ctx, msg)
 	}
 	ans, ok := loop.Get(ctx, ctl.loop, func(now clock.Milli) peer.Message { return ctl.answer(msg, now) })
 	if !ok {
@@ -330,17 +330,17 @@
 
 // answer answers a message on the control loop.
 func (ctl *Control) answer(msg peer.Message, now clock.Milli) peer.Message {
-	ctl.group.Learn(msg, 0, now)
+	ctl.group.Receive(msg, 0, now)
 	switch msg.Kind {
-	case peer.FactsTold:
+	case peer.PushFacts:
 		return peer.Message{Kind: peer.OK, From: ctl.set.Self}
 	case peer.Probe:
 		ans := ctl.group.Message(peer.OK, msg.From)
-		ans.Facts = ctl.facts.spread.Missing(msg.Digest, now)
+		ans.Facts = ctl.facts.spread.Delta(msg.Digest, now)
 		return ans
-	case peer.StateWanted:
+	case peer.GetState:
 		return ctl.answerSnapshot(now)
-	case peer.Unlisted:
+	case peer.EntryMissing:
 		ctl.announceAgain()
 		return ctl.group.Message(peer.OK, msg.From)
 	}
--- a/internal/state/endpts.go
+++ b/internal/state/endpts.go
@@ -7,7 +7,7 @@
 
 	"amaranthvalve/internal/loop"
 	"amaranthvalve/internal/meter"
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/ident"
 )
@@ -35,7 +35,7 @@
 // endptsCtl owns the endpoints.
 type endptsCtl struct {
 	ctl     *Control
-	list    []talk.Endpoint
+	list    []proto.Endpoint
 	leaving map[ident.Process]clock.Milli
 	// runs has the latest run of each endpoint that was listed recently.
 	runs runs
@@ -72,7 +72,7 @@
 
 // fetch reads the entries, unless the store is down. While no reader has updates, an instance that
 // has had no answer itself does not know whether the store is up.
-func (ect *endptsCtl) fetch(ctx context.Context) ([]talk.Endpoint, []error, error) {
+func (ect *endptsCtl) fetch(ctx context.Context) ([]proto.Endpoint, []error, error) {
 	if ect.ctl.storeDown(ctx) || ect.ctl.View().storeSilence(ect.ctl.set.Clock.Now()) > maxStoreSilence {
 		return nil, nil, errStoreDown
 	}
@@ -117,7 +117,7 @@
 	return following
 }
 
-func (ect *endptsCtl) applyRead(list []talk.Endpoint, faults []error, err error, now clock.Milli) {
+func (ect *endptsCtl) applyRead(list []proto.Endpoint, faults []error, err error, now clock.Milli) {
 	ect.ctl.docs.fromReader = endpointList{}
 	if err != nil {
 		if !ect.down {
@@ -142,7 +142,7 @@
 
 // withLapsed adds the known endpoints that are missing from a list, except those whose address
 // another endpoint has taken.
-func (ect *endptsCtl) withLapsed(list []talk.Endpoint) []talk.Endpoint {
+func (ect *endptsCtl) withLapsed(list []proto.Endpoint) []proto.Endpoint {
 	listed := map[string]bool{}
 	taken := map[string]bool{}
 	for _, ep := range list {
@@ -171,14 +171,14 @@
 }
 
 // apply replaces the list of endpoints.
-func (ect *endptsCtl) apply(list []talk.Endpoint, now clock.Milli) {
+func (ect *endptsCtl) apply(list []proto.Endpoint, now clock.Milli) {
 	list = ect.runs.latest(list, ect.list, now)
 	for i := range list {
 		if _, left := ect.leaving[list[i].ID]; left {
 			list[i].Leaving = true
 		}
 	}
-	slices.SortFunc(list, func(x, y talk.Endpoint) int {
+	slices.SortFunc(list, func(x, y proto.Endpoint) int {
 		if x.ID < y.ID {
 			return -1
 		}
@@ -193,15 +193,15 @@
 }
 
 // applySnapshot uses another instance's list if this one has none yet.
-func (ect *endptsCtl) applySnapshot(list []talk.Endpoint) {
+func (ect *endptsCtl) applySnapshot(list []proto.Endpoint) {
 	if !ect.loaded && len(ect.list) == 0 {
 		ect.apply(list, ect.ctl.set.Clock.Now())
 	}
 }
 
 // logChanges logs each endpoint that was added, removed or began to leave.
-func (ect *endptsCtl) logChanges(list []talk.Endpoint, now clock.Milli) {
-	before, names := map[ident.Process]talk.Endpoint{}, map[string]bool{}
+func (ect *endptsCtl) logChanges(list []proto.Endpoint, now clock.Milli) {
+	before, names := map[ident.Process]proto.Endpoint{}, map[string]bool{}
 	for _, ep := range ect.list {
 		before[ep.ID], names[ep.ID.Name()] = ep, true
 	}
--- a/internal/state/endpts_test.go
+++ b/internal/state/endpts_test.go
@@ -8,7 +8,7 @@
 	"github.com/rs/zerolog"
 
 	"amaranthvalve/internal/meter"
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/ident"
 	"amaranthvalve/pkg/plan"
@@ -19,15 +19,15 @@
 	return &ctl.endpts
 }
 
-func list(ids ...string) []talk.Endpoint {
-	var eps []talk.Endpoint
+func list(ids ...string) []proto.Endpoint {
+	var eps []proto.Endpoint
 	for _, id := range ids {
-		eps = append(eps, talk.Endpoint{ID: ident.Process(id), Addr: id, Pool: "p"})
+		eps = append(eps, proto.Endpoint{ID: ident.Process(id), Addr: id, Pool: "p"})
 	}
 	return eps
 }
 
-func names(eps []talk.Endpoint) []string {
+func names(eps []proto.Endpoint) []string {
 	var ids []string
 	for _, ep := range eps {
 		ids = append(ids, string(ep.ID))
@@ -88,7 +88,7 @@
 	ect := newEndpts()
 	ect.applyRead(list("a"), nil, nil, 0)
 	ect.applyRead(nil, nil, errors.New("down"), 5000)
-	ect.applyRead([]talk.Endpoint{{ID: "new", Addr: "a", Pool: "q"}}, nil, nil, 6000)
+	ect.applyRead([]proto.Endpoint{{ID: "new", Addr: "a", Pool: "q"}}, nil, nil, 6000)
 	gom.Expect(names(ect.list)).To(gomega.Equal([]string{"new"}))
 }
 
@@ -110,12 +110,12 @@
 	gom := gomega.NewWithT(t)
 	ect := newEndpts()
 	dct := &ect.ctl.docs
-	ect.ctl.set.Dialect = &talk.Dialect{Compile: compileNothing}
-	dct.apply(talk.Document{Offset: 7, Text: []byte("new")}, 100, 120, "store")
-	dct.apply(talk.Document{Offset: 5, Text: []byte("old")}, 200, 220, "store")
+	ect.ctl.set.Dialect = &proto.Dialect{Compile: compileNothing}
+	dct.apply(proto.Document{Offset: 7, Text: []byte("new")}, 100, 120, "store")
+	dct.apply(proto.Document{Offset: 5, Text: []byte("old")}, 200, 220, "store")
 	gom.Expect(dct.offset).To(gomega.Equal(int64(7)))
 	gom.Expect(dct.asOf).To(gomega.Equal(clock.Milli(100)), "an older document confirms nothing")
-	dct.apply(talk.Document{Offset: 7, Text: []byte("new")}, 300, 320, "store")
+	dct.apply(proto.Document{Offset: 7, Text: []byte("new")}, 300, 320, "store")
 	gom.Expect(dct.asOf).To(gomega.Equal(clock.Milli(300)))
 }
 
--- a/internal/state/facts.go
+++ b/internal/state/facts.go
@@ -8,9 +8,9 @@
 	"amaranthvalve/internal/meter"
 	"amaranthvalve/internal/peer"
 	"amaranthvalve/pkg/clock"
+	"amaranthvalve/pkg/gossip"
 	"amaranthvalve/pkg/ident"
 	"amaranthvalve/pkg/poison"
-	"amaranthvalve/pkg/rumor"
 )
 
 const (
@@ -24,7 +24,7 @@
 // factsCtl owns the facts that instances spread by gossip.
 type factsCtl struct {
 	ctl    *Control
-	spread rumor.Spread
+	spread gossip.Spread
 	// flushPending is set while new facts wait to be sent.
 	flushPending bool
 	suspects     *poison.List
@@ -35,8 +35,8 @@
 
 func newFacts(ctl *Control) factsCtl {
 	fcl := factsCtl{ctl: ctl}
-	fcl.spread.Bound(rumor.EndedUnder, poison.Bounds(func() *poison.List { return ctl.facts.suspects }))
-	fcl.spread.Bound(rumor.NamedRate, ratesBounds)
+	fcl.spread.Bound(gossip.EndedUnder, poison.Bounds(func() *poison.List { return ctl.facts.suspects }))
+	fcl.spread.Bound(gossip.NamedRate, ratesBounds)
 	return fcl
 }
 
@@ -51,37 +51,37 @@
 // receive merges the facts of a message. If it is an answer whose digest differs from ours, our
 // facts are sent to the other instance.
 func (fcl *factsCtl) receive(msg peer.Message, answers bool, now clock.Milli) {
-	if fcl.spread.Told(msg.Facts, fcl.ctl.list.IsMesh(), now) {
+	if fcl.spread.Receive(msg.Facts, fcl.ctl.list.IsMesh(), now) {
 		fcl.refresh(now)
 		fcl.scheduleFlush()
 	}
 	if answers {
-		fcl.send(msg.From, fcl.spread.Missing(msg.Digest, now))
+		fcl.send(msg.From, fcl.spread.Delta(msg.Digest, now))
 	}
 }
 
 // addLocal adds facts that this instance found out itself.
-func (fcl *factsCtl) addLocal(fresh []rumor.Fact, now clock.Milli) {
+func (fcl *factsCtl) addLocal(fresh []gossip.Fact, now clock.Milli) {
 	if len(fresh) == 0 {
 		return
 	}
-	fcl.spread.Learned(fresh...)
+	fcl.spread.Enqueue(fresh...)
 	fcl.refresh(now)
 	fcl.scheduleFlush()
 }
 
 // refresh derives the rates and suspects that requests use from the facts.
 func (fcl *factsCtl) refresh(now clock.Milli) {
-	if rates := readRates(fcl.spread.All(rumor.NamedRate, now), now); !maps.Equal(rates, fcl.rates) {
+	if rates := readRates(fcl.spread.All(gossip.NamedRate, now), now); !maps.Equal(rates, fcl.rates) {
 		fcl.rates = rates
 		fcl.ctl.ratesChanged = true
 	}
 	before := fcl.suspects
-	fcl.suspects = poison.Read(fcl.spread.All(rumor.EndedUnder, now), now)
-	fcl.stored.wanted = rumor.Digest(fcl.quarantineFacts(now))
-	for _, mrk := range fcl.suspects.Newly(before, now) {
+	fcl.suspects = poison.Read(fcl.spread.All(gossip.EndedUnder, now), now)
+	fcl.stored.wanted = gossip.Digest(fcl.quarantineFacts(now))
+	for _, mrk := range fcl.suspects.NewlyQuarantined(before, now) {
 		evt := fcl.ctl.set.Log.Warn().Stringer("mark", mrk)
-		for _, end := range fcl.suspects.Ends(mrk) {
+		for _, end := range fcl.suspects.Crashes(mrk) {
 			evt = evt.Str(string(end.Endpoint), end.By).Int64(string(end.Endpoint)+"_age_ms", int64(now-end.At))
 		}
 		evt.Msg("request quarantined")
@@ -113,35 +113,35 @@
 }
 
 // send sends facts to another instance. A lost message is made up for at the next probe.
-func (fcl *factsCtl) send(who ident.Incarnation, list []rumor.Fact) {
+func (fcl *factsCtl) send(who ident.Incarnation, list []gossip.Fact) {
 	ctl := fcl.ctl
 	if ctl.set.Link == nil || len(list) == 0 {
 		return
 	}
-	msg := peer.Message{Kind: peer.FactsTold, From: ctl.set.Self, To: who, Facts: list}
+	msg := peer.Message{Kind: peer.PushFacts, From: ctl.set.Self, To: who, Facts: list}
 	ctl.loop.Go(func(ctx context.Context) {
 		actx, cancel := context.WithTimeout(ctx, factsTimeout)
 		defer cancel()
-		_, _ = ctl.set.Link.Ask(actx, who.Addr(), msg)
+		_, _ = ctl.set.Link.Call(actx, who.Addr(), msg)
 	})
 }
 
 // recordCrash adds a fact on the crash of an endpoint that this instance found out itself.
 func (fcl *factsCtl) recordCrash(key, value string, now clock.Milli) {
-	if fct, ok := fcl.spread.Set(rumor.EndedUnder, key, value, now); ok {
-		fcl.addLocal([]rumor.Fact{fct}, now)
+	if fct, ok := fcl.spread.Set(gossip.EndedUnder, key, value, now); ok {
+		fcl.addLocal([]gossip.Fact{fct}, now)
 	}
 }
 
-// EndedUnder records that an endpoint crashed while it processed a request with this fingerprint.
-func (ctl *Control) EndedUnder(mrk poison.Mark, id ident.Process) {
+// RecordCrash records that an endpoint crashed while it processed a request with this fingerprint.
+func (ctl *Control) RecordCrash(mrk poison.Fingerprint, id ident.Process) {
 	ctx, cancel := context.WithTimeout(context.Background(), factsTimeout)
 	defer cancel()
 	ctl.loop.Do(ctx, func(now clock.Milli) { ctl.facts.recordCrash(poison.Key(mrk, id), ctl.set.Self.Addr(), now) })
 }
 
-// RanWhole records that an endpoint has completed a request with a suspected fingerprint.
-func (ctl *Control) RanWhole(mrk poison.Mark) {
+// RecordCompletion records that an endpoint has completed a request with a suspected fingerprint.
+func (ctl *Control) RecordCompletion(mrk poison.Fingerprint) {
 	ctl.loop.Offer(func(now clock.Milli) {
 		ctl.facts.addLocal(poison.Clear(&ctl.facts.spread.Table, ctl.facts.suspects, mrk, now), now)
 	})
@@ -150,7 +150,7 @@
 // BeginTrial admits a request whose quarantine is over. It records a crash before the request is
 // sent to any endpoint, so that no other instance admits it at the same time. It reports false if
 // another one already has.
-func (ctl *Control) BeginTrial(mrk poison.Mark, attempt ident.Process) bool {
+func (ctl *Control) BeginTrial(mrk poison.Fingerprint, attempt ident.Process) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), factsTimeout)
 	defer cancel()
 	began := false
@@ -163,6 +163,6 @@
 }
 
 // CancelTrial withdraws the crash recorded by BeginTrial: nothing ran, or the endpoint goes on.
-func (ctl *Control) CancelTrial(mrk poison.Mark, attempt ident.Process) {
+func (ctl *Control) CancelTrial(mrk poison.Fingerprint, attempt ident.Process) {
 	ctl.loop.Offer(func(now clock.Milli) { ctl.facts.recordCrash(poison.Key(mrk, attempt), poison.Cleared, now) })
 }
--- a/internal/state/follow.go
+++ b/internal/state/follow.go
@@ -11,7 +11,7 @@
 
 	"amaranthvalve/internal/loop"
 	"amaranthvalve/internal/peer"
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/ident"
 )
@@ -51,11 +51,11 @@
 	// Listed is set if the reader's endpoints differ from those that the follower last received.
 	// Endpoints then holds all of them or, if Changed is set, only new and modified ones, and Gone
 	// the names of removed ones. Digest identifies the full list.
-	Listed    bool            `cbor:"5,keyasint,omitempty"`
-	Endpoints []talk.Endpoint `cbor:"6,keyasint,omitempty"`
-	Changed   bool            `cbor:"8,keyasint,omitempty"`
-	Gone      []string        `cbor:"9,keyasint,omitempty"`
-	Digest    uint64          `cbor:"10,keyasint,omitempty"`
+	Listed    bool             `cbor:"5,keyasint,omitempty"`
+	Endpoints []proto.Endpoint `cbor:"6,keyasint,omitempty"`
+	Changed   bool             `cbor:"8,keyasint,omitempty"`
+	Gone      []string         `cbor:"9,keyasint,omitempty"`
+	Digest    uint64           `cbor:"10,keyasint,omitempty"`
 }
 
 // updateRequest describes what a follower has: the offset of its documents, and the list of
@@ -82,7 +82,7 @@
 		return err
 	}
 	sent := ctl.set.Clock.Now()
-	ans, err := ctl.set.Link.AskSlowly(ctx, who.Addr(), peer.Message{Kind: peer.NewsWanted, From: ctl.set.Self, To: who, Body: body})
+	ans, err := ctl.set.Link.CallLong(ctx, who.Addr(), peer.Message{Kind: peer.PollUpdate, From: ctl.set.Self, To: who, Body: body})
 	if err != nil {
 		return err
 	}
@@ -98,7 +98,7 @@
 	ctl.loop.Do(ctx, func(now clock.Milli) {
 		switch {
 		case upd.Text != nil:
-			dct.apply(talk.Document{Offset: upd.Offset, Text: upd.Text}, asOf, now, string(who))
+			dct.apply(proto.Document{Offset: upd.Offset, Text: upd.Text}, asOf, now, string(who))
 		case upd.Offset == dct.offset:
 			dct.confirm(asOf)
 		}
@@ -118,8 +118,8 @@
 	return updateRequest{Offset: dct.offset, Digest: dct.fromReader.Digest}
 }
 
-// Tell answers a follower; it is registered with the link.
-func (ctl *Control) Tell(ctx context.Context, msg peer.Message) peer.Message {
+// ServeFollower answers a follower; it is registered with the link.
+func (ctl *Control) ServeFollower(ctx context.Context, msg peer.Message) peer.Message {
 	ans := peer.Message{Kind: peer.Nack, From: ctl.set.Self}
 	var req updateRequest
 	if cbor.Unmarshal(msg.Body, &req) != nil {
--- a/internal/state/lists.go
+++ b/internal/state/lists.go
@@ -7,7 +7,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/pkg/ident"
 )
 
@@ -19,11 +19,11 @@
 // endpointList is a list of endpoints with the digest that identifies it.
 type endpointList struct {
 	Digest uint64
-	List   []talk.Endpoint
+	List   []proto.Endpoint
 }
 
 // digest identifies a list of endpoints.
-func digest(list []talk.Endpoint) uint64 {
+func digest(list []proto.Endpoint) uint64 {
 	sum := xxhash.New()
 	for _, ep := range list {
 		for _, text := range []string{string(ep.ID), ep.Addr, ep.Pool, strconv.FormatBool(ep.Leaving)} {
@@ -48,7 +48,7 @@
 		return
 	}
 	upd.Changed, upd.Endpoints = true, nil
-	before := map[ident.Process]talk.Endpoint{}
+	before := map[ident.Process]proto.Endpoint{}
 	for _, ep := range vw.pastLists[at].List {
 		before[ep.ID] = ep
 	}
@@ -84,7 +84,7 @@
 }
 
 // patched returns the list with the changes of an update.
-func (lst *endpointList) patched(upd update) []talk.Endpoint {
+func (lst *endpointList) patched(upd update) []proto.Endpoint {
 	differs := map[ident.Process]bool{}
 	for _, id := range upd.Gone {
 		differs[ident.Process(id)] = true
@@ -92,8 +92,8 @@
 	for _, ep := range upd.Endpoints {
 		differs[ep.ID] = true
 	}
-	list := slices.DeleteFunc(slices.Clone(lst.List), func(ep talk.Endpoint) bool { return differs[ep.ID] })
+	list := slices.DeleteFunc(slices.Clone(lst.List), func(ep proto.Endpoint) bool { return differs[ep.ID] })
 	list = append(list, upd.Endpoints...)
-	slices.SortFunc(list, func(x, y talk.Endpoint) int { return cmp.Compare(x.ID, y.ID) })
+	slices.SortFunc(list, func(x, y proto.Endpoint) int { return cmp.Compare(x.ID, y.ID) })
 	return list
 }
--- a/internal/state/lists_test.go
+++ b/internal/state/lists_test.go
@@ -12,14 +12,14 @@
 	"pgregory.net/rapid"
 
 	"amaranthvalve/internal/peer"
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/ident"
 	"amaranthvalve/pkg/plan"
 )
 
 // reader returns a control state whose view has a plan and has had these lists of endpoints.
-func reader(lists ...[]talk.Endpoint) *Control {
+func reader(lists ...[]proto.Endpoint) *Control {
 	ctl := newEndpts().ctl
 	ctl.docs.plan, ctl.docs.offset = &plan.Plan{}, 7
 	ctl.docs.lastAnswer = ctl.set.Clock.Now()
@@ -41,9 +41,9 @@
 		ids := rapid.SliceOfNDistinct(rapid.IntRange(0, 40), 0, 20, rapid.ID[int])
 		since := 0
 		for range rapid.IntRange(1, 60).Draw(rpd, "steps") {
-			var eps []talk.Endpoint
+			var eps []proto.Endpoint
 			for _, id := range slices.Sorted(slices.Values(ids.Draw(rpd, "ids"))) {
-				eps = append(eps, talk.Endpoint{ID: ident.Process(fmt.Sprintf("e%02d", id)), Addr: "a", Leaving: rapid.Bool().Draw(rpd, "leaving")})
+				eps = append(eps, proto.Endpoint{ID: ident.Process(fmt.Sprintf("e%02d", id)), Addr: "a", Leaving: rapid.Bool().Draw(rpd, "leaving")})
 			}
 			ctl.endpts.list, ctl.dirty = eps, true
 			ctl.publish(0)
@@ -83,7 +83,7 @@
 	body, err := cbor.Marshal(fol.ctl.docs.updateRequest())
 	gom.Expect(err).NotTo(gomega.HaveOccurred())
 	began := time.Now()
-	ans := rdr.Tell(context.Background(), peer.Message{Body: body})
+	ans := rdr.ServeFollower(context.Background(), peer.Message{Body: body})
 	gom.Expect(time.Since(began)).To(gomega.BeNumerically(">=", updateHold))
 	var got update
 	gom.Expect(cbor.Unmarshal(ans.Body, &got)).To(gomega.Succeed())
--- a/internal/state/rates.go
+++ b/internal/state/rates.go
@@ -3,10 +3,10 @@
 import (
 	"strconv"
 
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/pkg/clock"
+	"amaranthvalve/pkg/gossip"
 	"amaranthvalve/pkg/ident"
-	"amaranthvalve/pkg/rumor"
 )
 
 const (
@@ -26,7 +26,7 @@
 )
 
 // ratesBounds bounds the facts on rates.
-var ratesBounds = rumor.Bounds{Keep: rateRetention, Most: maxRates}
+var ratesBounds = gossip.Bounds{Retention: rateRetention, MaxFacts: maxRates}
 
 // rate is the number of requests per second that an endpoint accepts from all instances together.
 type rate struct {
@@ -36,7 +36,7 @@
 }
 
 // readRates returns the rates that the facts describe.
-func readRates(facts []rumor.Fact, now clock.Milli) map[ident.Process]rate {
+func readRates(facts []gossip.Fact, now clock.Milli) map[ident.Process]rate {
 	rates := map[ident.Process]rate{}
 	for _, fct := range facts {
 		if perSecond, err := strconv.ParseFloat(fct.Value, 64); err == nil {
@@ -62,8 +62,8 @@
 	return all
 }
 
-// Answered records an endpoint's answer to a request that was sent at the given instant.
-func (ctl *Control) Answered(addr string, rep talk.Reply, sent clock.Milli) {
+// RecordReply records an endpoint's answer to a request that was sent at the given instant.
+func (ctl *Control) RecordReply(addr string, rep proto.ReplyMeta, sent clock.Milli) {
 	vw := ctl.View()
 	if rep.Misdirected || !rep.HasRate && len(vw.rates) == 0 {
 		return
@@ -79,7 +79,7 @@
 
 // recordRate spreads a new or changed rate of an endpoint to all instances, or clears it: by an
 // answer without a rate to a request that was sent after the rate was declared.
-func (ctl *Control) recordRate(vw *View, ep talk.Endpoint, rep talk.Reply, sent clock.Milli) {
+func (ctl *Control) recordRate(vw *View, ep proto.Endpoint, rep proto.ReplyMeta, sent clock.Milli) {
 	known, ok := vw.rates[ep.ID]
 	value := noRate
 	switch {
@@ -92,11 +92,11 @@
 		return
 	}
 	ctl.loop.Offer(func(now clock.Milli) {
-		before, at, had := ctl.facts.spread.Get(rumor.NamedRate, string(ep.ID))
+		before, at, had := ctl.facts.spread.Get(gossip.NamedRate, string(ep.ID))
 		if had && before == value && now-at < rateRenewal || !had && value == noRate {
 			return
 		}
-		ctl.facts.addLocal([]rumor.Fact{ctl.facts.spread.Renew(rumor.NamedRate, string(ep.ID), value, now)}, now)
+		ctl.facts.addLocal([]gossip.Fact{ctl.facts.spread.Refresh(gossip.NamedRate, string(ep.ID), value, now)}, now)
 		if !had || before != value {
 			ctl.set.Log.Info().Str("endpoint", string(ep.ID)).Str("pool", ep.Pool).Str("per_second", value).Str("before", before).Msg("declared rate of an endpoint changed")
 		}
--- a/internal/state/rates_test.go
+++ b/internal/state/rates_test.go
@@ -7,18 +7,18 @@
 
 	"github.com/onsi/gomega"
 
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/pkg/clock"
 )
 
 // Guards against a rate that is assigned to an endpoint which had the address before.
 func TestRateOfReusedAddress(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	ctl := started(t, talk.Store{Endpoints: func(context.Context) ([]talk.Endpoint, []error, error) {
-		return []talk.Endpoint{{ID: "ended", Addr: "a", Pool: "p"}, {ID: "there", Addr: "a", Pool: "p"}, {ID: "other", Addr: "b", Pool: "p"}}, nil, nil
+	ctl := started(t, proto.Store{Endpoints: func(context.Context) ([]proto.Endpoint, []error, error) {
+		return []proto.Endpoint{{ID: "ended", Addr: "a", Pool: "p"}, {ID: "there", Addr: "a", Pool: "p"}, {ID: "other", Addr: "b", Pool: "p"}}, nil, nil
 	}})
 	gom.Eventually(func() int { return len(ctl.View().Endpoints()) }, soon).Should(gomega.Equal(3))
-	ctl.Answered("a", talk.Reply{HasRate: true, Rate: 2}, clock.Clock{}.Now())
+	ctl.RecordReply("a", proto.ReplyMeta{HasRate: true, Rate: 2}, clock.Clock{}.Now())
 	gom.Eventually(func() float64 {
 		rate, _ := ctl.View().Rate("there")
 		return rate
@@ -33,12 +33,12 @@
 	gom := gomega.NewWithT(t)
 	var passed atomic.Int64
 	clk := clock.New(func() clock.Milli { return clock.Clock{}.Now() + clock.Milli(passed.Load()) })
-	ctl := startedAt(t, talk.Store{}, clk)
+	ctl := startedAt(t, proto.Store{}, clk)
 	gom.Eventually(func() int { return len(ctl.View().Endpoints()) }, soon).Should(gomega.Equal(1))
 	renewals, digest := 0, uint64(0)
 	const span = 2 * clock.Hour
 	for range int(span / clock.Minute) {
-		ctl.Answered("e1", talk.Reply{HasRate: true, Rate: 2}, clk.Now())
+		ctl.RecordReply("e1", proto.ReplyMeta{HasRate: true, Rate: 2}, clk.Now())
 		gom.Expect(ctl.loop.Do(t.Context(), func(clock.Milli) {
 			if now := ctl.facts.spread.Digest(); now != digest {
 				renewals, digest = renewals+1, now
--- a/internal/state/runs.go
+++ b/internal/state/runs.go
@@ -1,7 +1,7 @@
 package state
 
 import (
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/ident"
 )
@@ -27,12 +27,12 @@
 
 // latest returns a list without runs that have ended; each is replaced by the later run as found in
 // the list before, if it is there.
-func (rns *runs) latest(list, before []talk.Endpoint, now clock.Milli) []talk.Endpoint {
+func (rns *runs) latest(list, before []proto.Endpoint, now clock.Milli) []proto.Endpoint {
 	if rns.byName == nil {
 		rns.byName = map[string]run{}
 	}
 	at := map[string]int{}
-	var out []talk.Endpoint
+	var out []proto.Endpoint
 	for _, ep := range list {
 		name := ep.ID.Name()
 		if known, ok := rns.byName[name]; ok && known.proc.Replaces(ep.ID) {
@@ -53,7 +53,7 @@
 	return out
 }
 
-func (rns *runs) note(list []talk.Endpoint, now clock.Milli) {
+func (rns *runs) note(list []proto.Endpoint, now clock.Milli) {
 	for _, ep := range list {
 		rns.byName[ep.ID.Name()] = run{proc: ep.ID, listedAt: now}
 	}
@@ -64,11 +64,11 @@
 	}
 }
 
-func find(list []talk.Endpoint, proc ident.Process) (talk.Endpoint, bool) {
+func find(list []proto.Endpoint, proc ident.Process) (proto.Endpoint, bool) {
 	for _, ep := range list {
 		if ep.ID == proc {
 			return ep, true
 		}
 	}
-	return talk.Endpoint{}, false
+	return proto.Endpoint{}, false
 }
--- a/internal/state/runs_test.go
+++ b/internal/state/runs_test.go
@@ -9,15 +9,15 @@
 	"github.com/onsi/gomega"
 	"github.com/rs/zerolog"
 
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/ident"
 	"amaranthvalve/pkg/plan"
 )
 
 // runOf returns an endpoint that started at an instant.
-func runOf(name string, born clock.Milli, leaving bool) talk.Endpoint {
-	return talk.Endpoint{ID: ident.NewProcess(name, born), Addr: name, Pool: "p", Leaving: leaving}
+func runOf(name string, born clock.Milli, leaving bool) proto.Endpoint {
+	return proto.Endpoint{ID: ident.NewProcess(name, born), Addr: name, Pool: "p", Leaving: leaving}
 }
 
 // Guards against an ended run that an outdated list or a late leaving notice brings back after the
@@ -25,20 +25,20 @@
 func TestLaterRunStays(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	ect := newEndpts()
-	ect.applyRead([]talk.Endpoint{runOf("a", 1000, false), runOf("b", 1000, false)}, nil, nil, 0)
+	ect.applyRead([]proto.Endpoint{runOf("a", 1000, false), runOf("b", 1000, false)}, nil, nil, 0)
 	ect.markLeaving("a@1000", "it said so", 100)
-	ect.applyRead([]talk.Endpoint{runOf("a", 2000, false), runOf("b", 1000, false)}, nil, nil, 700)
+	ect.applyRead([]proto.Endpoint{runOf("a", 2000, false), runOf("b", 1000, false)}, nil, nil, 700)
 	gom.Expect(names(ect.list)).To(gomega.Equal([]string{"a@2000", "b@1000"}))
 	gom.Expect(ect.list[0].Leaving).To(gomega.BeFalse(), "the leaving run has ended")
 
-	ect.apply([]talk.Endpoint{runOf("a", 1000, true), runOf("b", 1000, false)}, 900)
+	ect.apply([]proto.Endpoint{runOf("a", 1000, true), runOf("b", 1000, false)}, 900)
 	gom.Expect(names(ect.list)).To(gomega.Equal([]string{"a@2000", "b@1000"}))
 	gom.Expect(ect.list[0].Leaving).To(gomega.BeFalse())
 	ect.markLeaving("a@1000", "reported by another instance", 950)
 	gom.Expect(ect.list[0].Leaving).To(gomega.BeFalse())
 
-	ect.apply([]talk.Endpoint{runOf("b", 1000, false)}, 1000)
-	ect.apply([]talk.Endpoint{runOf("a", 1000, false), runOf("b", 1000, false)}, 1100)
+	ect.apply([]proto.Endpoint{runOf("b", 1000, false)}, 1000)
+	ect.apply([]proto.Endpoint{runOf("a", 1000, false), runOf("b", 1000, false)}, 1100)
 	gom.Expect(names(ect.list)).To(gomega.Equal([]string{"b@1000"}), "the later run is gone, and the earlier one has ended")
 }
 
@@ -47,9 +47,9 @@
 func TestRunWithoutStartTime(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	ect := newEndpts()
-	ect.applyRead([]talk.Endpoint{runOf("a", 0, false)}, nil, nil, 0)
-	ect.applyRead([]talk.Endpoint{runOf("a", 1000, false)}, nil, nil, 700)
-	ect.applyRead([]talk.Endpoint{runOf("a", 0, true)}, nil, nil, 1400)
+	ect.applyRead([]proto.Endpoint{runOf("a", 0, false)}, nil, nil, 0)
+	ect.applyRead([]proto.Endpoint{runOf("a", 1000, false)}, nil, nil, 700)
+	ect.applyRead([]proto.Endpoint{runOf("a", 0, true)}, nil, nil, 1400)
 	gom.Expect(names(ect.list)).To(gomega.Equal([]string{"a@1000"}))
 	gom.Expect(ect.list[0].Leaving).To(gomega.BeFalse())
 }
@@ -59,11 +59,11 @@
 func TestEndedRunIsNotKeptAsLapsed(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	ect := newEndpts()
-	ect.applyRead([]talk.Endpoint{runOf("a", 1000, false), runOf("b", 1000, false)}, nil, nil, 0)
+	ect.applyRead([]proto.Endpoint{runOf("a", 1000, false), runOf("b", 1000, false)}, nil, nil, 0)
 	ect.applyRead(nil, nil, errStoreDown, 700)
 	moved := runOf("a", 2000, false)
 	moved.Addr = "elsewhere"
-	ect.applyRead([]talk.Endpoint{moved}, nil, nil, 1400)
+	ect.applyRead([]proto.Endpoint{moved}, nil, nil, 1400)
 	gom.Expect(names(ect.list)).To(gomega.Equal([]string{"a@2000", "b@1000"}))
 }
 
@@ -72,7 +72,7 @@
 	gom := gomega.NewWithT(t)
 	ect := newEndpts()
 	for i := range clock.Milli(1000) {
-		ect.apply([]talk.Endpoint{runOf(ident.NewID(), 1000, false)}, i*clock.Second)
+		ect.apply([]proto.Endpoint{runOf(ident.NewID(), 1000, false)}, i*clock.Second)
 	}
 	gom.Expect(len(ect.runs.byName)).To(gomega.BeNumerically("<=", 32))
 }
@@ -84,13 +84,13 @@
 	ect := newEndpts()
 	pln, _ := plan.Compile(plan.Draft{Pools: []plan.DraftPool{{Name: "p"}, {Name: "q"}}})
 	ect.ctl.docs.plan = pln
-	foreign := talk.Endpoint{ID: "x", Addr: "a", Pool: "nobody's"}
-	ect.applyRead([]talk.Endpoint{runOf("a", 1000, false)}, nil, nil, 0)
+	foreign := proto.Endpoint{ID: "x", Addr: "a", Pool: "nobody's"}
+	ect.applyRead([]proto.Endpoint{runOf("a", 1000, false)}, nil, nil, 0)
 	ect.applyRead(nil, nil, errStoreDown, 700)
-	ect.applyRead([]talk.Endpoint{foreign}, nil, nil, 1400)
+	ect.applyRead([]proto.Endpoint{foreign}, nil, nil, 1400)
 	gom.Expect(names(ect.list)).To(gomega.ConsistOf("a@1000", "x"))
 	foreign.Pool = "q"
-	ect.applyRead([]talk.Endpoint{foreign}, nil, nil, 1500)
+	ect.applyRead([]proto.Endpoint{foreign}, nil, nil, 1500)
 	gom.Expect(names(ect.list)).To(gomega.ConsistOf("x"), "another endpoint has the address")
 }
 
--- a/internal/state/source.go
+++ b/internal/state/source.go
@@ -111,8 +111,8 @@
 	return vw.sources.choose(ctl.set.Self, func(who ident.Incarnation) bool { return now < ctl.docs.backoff.until(who) })
 }
 
-// Follows reports whether this instance gets the contents of the store through others.
-func (ctl *Control) Follows() bool {
+// IsFollower reports whether this instance gets the contents of the store through others.
+func (ctl *Control) IsFollower() bool {
 	_, src := ctl.source(ctl.set.Clock.Now())
 	return src == fromOther
 }
@@ -120,5 +120,5 @@
 // rareReadWait returns how long an instance waits before it reads the store rarely, by the number
 // of instances.
 func rareReadWait(instances int) clock.Milli {
-	return retry.Spread(rareReadPerInstance * clock.Milli(max(instances, 1)))
+	return retry.Jittered(rareReadPerInstance * clock.Milli(max(instances, 1)))
 }
--- a/internal/state/source_test.go
+++ b/internal/state/source_test.go
@@ -87,7 +87,7 @@
 func TestViewsAreYoungerThanTokens(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	for tokens := clock.Second; tokens <= clock.Minute; tokens += 100 {
-		ctl := &Control{set: Setup{TokensFor: tokens}}
+		ctl := &Control{set: Setup{TokenMaxViewAge: tokens}}
 		age := 2*ctl.capped(watchHold, watchHoldShare) + ctl.capped(clock.FromDuration(updateHold), updateHoldShare)
 		gom.Expect(age).To(gomega.BeNumerically("<=", tokens*7/10))
 	}
--- a/internal/state/start_test.go
+++ b/internal/state/start_test.go
@@ -14,7 +14,7 @@
 
 	"amaranthvalve/internal/meter"
 	"amaranthvalve/internal/peer"
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/ident"
 	"amaranthvalve/pkg/member"
@@ -25,9 +25,9 @@
 const soon = 5 * time.Second
 
 // storeOf returns a store with one document that answers all other calls by the given functions.
-func storeOf(sto talk.Store) talk.Store {
+func storeOf(sto proto.Store) proto.Store {
 	if sto.Newest == nil {
-		sto.Newest = func(context.Context) (talk.Document, error) { return talk.Document{Offset: 1, End: 2}, nil }
+		sto.Newest = func(context.Context) (proto.Document, error) { return proto.Document{Offset: 1, End: 2}, nil }
 	}
 	if sto.Watch == nil {
 		sto.Watch = func(ctx context.Context, _ int64, _ clock.Milli) (bool, error) {
@@ -36,24 +36,24 @@
 		}
 	}
 	if sto.Endpoints == nil {
-		sto.Endpoints = func(context.Context) ([]talk.Endpoint, []error, error) { return list("e1"), nil, nil }
+		sto.Endpoints = func(context.Context) ([]proto.Endpoint, []error, error) { return list("e1"), nil, nil }
 	}
 	if sto.Instances == nil {
-		sto.Instances = func(context.Context) ([]talk.Instance, []byte, error) { return nil, nil, nil }
+		sto.Instances = func(context.Context) ([]proto.Instance, []byte, error) { return nil, nil, nil }
 	}
 	if sto.Announce == nil {
-		sto.Announce = func(context.Context, talk.Instance) error { return nil }
+		sto.Announce = func(context.Context, proto.Instance) error { return nil }
 	}
 	return sto
 }
 
 // started runs a control state for a test.
-func started(t *testing.T, sto talk.Store) *Control { return startedAt(t, sto, clock.Clock{}) }
+func started(t *testing.T, sto proto.Store) *Control { return startedAt(t, sto, clock.Clock{}) }
 
 // startedAt is like started, with another clock.
-func startedAt(t *testing.T, sto talk.Store, clk clock.Clock) *Control {
+func startedAt(t *testing.T, sto proto.Store, clk clock.Clock) *Control {
 	pln, _ := plan.Compile(plan.Draft{})
-	dia := &talk.Dialect{Compile: func([]byte) (*plan.Plan, []error) { return pln, nil }}
+	dia := &proto.Dialect{Compile: func([]byte) (*plan.Plan, []error) { return pln, nil }}
 	ctl := New(Setup{
 		Self: ident.NewIncarnation("10.0.0.1:1"), Meter: meter.New(), Log: zerolog.Nop(), Dialect: dia, Store: storeOf(sto), Clock: clk,
 	})
@@ -71,11 +71,11 @@
 }
 
 // entries returns the entries of a number of instances with one boot name.
-func entries(boot string, count int) []talk.Instance {
-	var all []talk.Instance
+func entries(boot string, count int) []proto.Instance {
+	var all []proto.Instance
 	for i := range count {
 		addr := fmt.Sprintf("10.0.1.%d:1", i)
-		all = append(all, talk.Instance{Name: addr + "#" + boot, Addr: addr, Zone: "z", Caller: addr})
+		all = append(all, proto.Instance{Name: addr + "#" + boot, Addr: addr, Zone: "z", Caller: addr})
 	}
 	return all
 }
@@ -85,14 +85,14 @@
 // for its own first, half a second at two hundred, coordinated pools alone.
 func TestOthersAreKnownBeforeOwnEntryIsWritten(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	ctl := started(t, talk.Store{
-		Announce: func(ctx context.Context, _ talk.Instance) error {
+	ctl := started(t, proto.Store{
+		Announce: func(ctx context.Context, _ proto.Instance) error {
 			<-ctx.Done()
 			return ctx.Err()
 		},
-		Instances: func(context.Context) ([]talk.Instance, []byte, error) { return entries("before", 30), nil, nil },
+		Instances: func(context.Context) ([]proto.Instance, []byte, error) { return entries("before", 30), nil, nil },
 	})
-	gom.Eventually(ctl.Met(), soon).Should(gomega.BeClosed())
+	gom.Eventually(ctl.MembersKnown(), soon).Should(gomega.BeClosed())
 	gom.Eventually(func() int { return len(ctl.View().Members()) }, soon).Should(gomega.Equal(31))
 }
 
@@ -101,7 +101,7 @@
 func TestOwnEntryIsWrittenAgain(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	var writes atomic.Int64
-	started(t, talk.Store{Announce: func(context.Context, talk.Instance) error {
+	started(t, proto.Store{Announce: func(context.Context, proto.Instance) error {
 		writes.Add(1)
 		return nil
 	}})
@@ -112,15 +112,15 @@
 // yet. They wait for them; if the store is down, later ones are refused at once.
 func TestFirstRequestsWait(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	ctl := started(t, talk.Store{Endpoints: func(context.Context) ([]talk.Endpoint, []error, error) {
+	ctl := started(t, proto.Store{Endpoints: func(context.Context) ([]proto.Endpoint, []error, error) {
 		time.Sleep(100 * time.Millisecond)
 		return list("e1"), nil, nil
 	}})
-	gom.Expect(ctl.Whole(context.Background()).Endpoints()).To(gomega.HaveLen(1))
-	down := started(t, talk.Store{Newest: func(context.Context) (talk.Document, error) { return talk.Document{}, errors.New("down") }})
-	gom.Expect(down.Whole(context.Background()).Plan()).To(gomega.BeNil())
+	gom.Expect(ctl.WaitServable(context.Background()).Endpoints()).To(gomega.HaveLen(1))
+	down := started(t, proto.Store{Newest: func(context.Context) (proto.Document, error) { return proto.Document{}, errors.New("down") }})
+	gom.Expect(down.WaitServable(context.Background()).Plan()).To(gomega.BeNil())
 	began := time.Now()
-	gom.Expect(down.Whole(context.Background()).Plan()).To(gomega.BeNil())
+	gom.Expect(down.WaitServable(context.Background()).Plan()).To(gomega.BeNil())
 	gom.Expect(time.Since(began)).To(gomega.BeNumerically("<", startupWait.Duration()/2), "later requests do not wait")
 }
 
@@ -130,7 +130,7 @@
 	gom := gomega.NewWithT(t)
 	var writes atomic.Int64
 	taken := make(chan []string, 9)
-	sto := talk.Store{Withdraw: func(_ context.Context, names ...string) error {
+	sto := proto.Store{Withdraw: func(_ context.Context, names ...string) error {
 		writes.Add(1)
 		taken <- names
 		return nil
@@ -171,7 +171,7 @@
 func TestNewReaderSendsNoEmptyList(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	held := make(chan struct{})
-	ctl := started(t, talk.Store{Endpoints: func(ctx context.Context) ([]talk.Endpoint, []error, error) {
+	ctl := started(t, proto.Store{Endpoints: func(ctx context.Context) ([]proto.Endpoint, []error, error) {
 		select {
 		case <-held:
 		case <-ctx.Done():
@@ -183,7 +183,7 @@
 		body, err := cbor.Marshal(updateRequest{Offset: ctl.View().Offset()})
 		gom.Expect(err).NotTo(gomega.HaveOccurred())
 		var upd update
-		gom.Expect(cbor.Unmarshal(ctl.Tell(context.Background(), peer.Message{Body: body}).Body, &upd)).To(gomega.Succeed())
+		gom.Expect(cbor.Unmarshal(ctl.ServeFollower(context.Background(), peer.Message{Body: body}).Body, &upd)).To(gomega.Succeed())
 		return upd
 	}
 	gom.Expect(ask().Listed).To(gomega.BeFalse())
@@ -197,24 +197,24 @@
 func TestPatientFollowerLearnsOfStoreReturn(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	var down atomic.Bool
-	ctl := started(t, talk.Store{Watch: func(context.Context, int64, clock.Milli) (bool, error) {
+	ctl := started(t, proto.Store{Watch: func(context.Context, int64, clock.Milli) (bool, error) {
 		if down.Load() {
 			return false, errors.New("down")
 		}
 		time.Sleep(10 * time.Millisecond)
 		return false, nil
-	}, Newest: func(context.Context) (talk.Document, error) {
+	}, Newest: func(context.Context) (proto.Document, error) {
 		if down.Load() {
-			return talk.Document{}, errors.New("down")
+			return proto.Document{}, errors.New("down")
 		}
-		return talk.Document{Offset: 1, End: 2}, nil
+		return proto.Document{Offset: 1, End: 2}, nil
 	}})
 	ask := func(patient bool) (update, time.Duration) {
 		vw := ctl.View()
 		body, _ := cbor.Marshal(updateRequest{Offset: vw.Offset(), Digest: vw.digest, Patient: patient})
 		began := time.Now()
 		var upd update
-		gom.Expect(cbor.Unmarshal(ctl.Tell(context.Background(), peer.Message{Body: body}).Body, &upd)).To(gomega.Succeed())
+		gom.Expect(cbor.Unmarshal(ctl.ServeFollower(context.Background(), peer.Message{Body: body}).Body, &upd)).To(gomega.Succeed())
 		return upd, time.Since(began)
 	}
 	gom.Eventually(func() bool { return ctl.View().servable() }, soon).Should(gomega.BeTrue())
@@ -239,7 +239,7 @@
 // have ended, and ranks no instance, itself included. It ended there with requests in flight.
 func TestLastInstanceStopsDuringLookup(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	ctl := started(t, talk.Store{})
+	ctl := started(t, proto.Store{})
 	ctl.Leave(context.Background())
 	gom.Expect(ctl.loop.Do(context.Background(), func(now clock.Milli) {
 		before := entries("before", 3)
@@ -258,7 +258,7 @@
 // Guards against a data race: an answer written while the caller, whose time is up, reads it.
 func TestLateAnswerIsNotRead(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	ctl := started(t, talk.Store{})
+	ctl := started(t, proto.Store{})
 	held, begun, ended := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	ctl.loop.Offer(func(clock.Milli) {
 		close(begun)
--- a/internal/state/storedfacts.go
+++ b/internal/state/storedfacts.go
@@ -6,8 +6,8 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"amaranthvalve/pkg/clock"
+	"amaranthvalve/pkg/gossip"
 	"amaranthvalve/pkg/poison"
-	"amaranthvalve/pkg/rumor"
 )
 
 // Instances have no storage of their own, and all may end at once. The requests that crashed
@@ -26,8 +26,8 @@
 // storedFacts are the facts as written to the store.
 type storedFacts struct {
 	// At is when they were written, by the writer's clock.
-	At    clock.Milli  `cbor:"1,keyasint"`
-	Facts []rumor.Fact `cbor:"2,keyasint"`
+	At    clock.Milli   `cbor:"1,keyasint"`
+	Facts []gossip.Fact `cbor:"2,keyasint"`
 }
 
 // storedState is what this instance knows of the facts in the store.
@@ -57,15 +57,15 @@
 	for i := range std.Facts {
 		std.Facts[i].Age += since
 	}
-	if fcl.spread.Told(std.Facts, true, now) {
+	if fcl.spread.Receive(std.Facts, true, now) {
 		fcl.refresh(now)
 	}
-	fcl.stored.digest = rumor.Digest(std.Facts)
+	fcl.stored.digest = gossip.Digest(std.Facts)
 }
 
 // quarantineFacts returns the facts that should be in the store.
-func (fcl *factsCtl) quarantineFacts(now clock.Milli) []rumor.Fact {
-	return poison.Quarantining(fcl.spread.All(rumor.EndedUnder, now), fcl.suspects, maxStoredFingerprints, maxStoredCrashes)
+func (fcl *factsCtl) quarantineFacts(now clock.Milli) []gossip.Fact {
+	return poison.QuarantineFacts(fcl.spread.All(gossip.EndedUnder, now), fcl.suspects, maxStoredFingerprints, maxStoredCrashes)
 }
 
 // writeStored writes the facts on quarantined requests if those in the store differ; only the first
@@ -87,7 +87,7 @@
 	fcl.ctl.loop.Go(func(ctx context.Context) {
 		wctx, cancel := context.WithTimeout(ctx, readTimeout)
 		defer cancel()
-		err := fcl.ctl.set.Store.Keep(wctx, text)
+		err := fcl.ctl.set.Store.PutShared(wctx, text)
 		fcl.ctl.loop.Do(ctx, func(clock.Milli) {
 			std.writing = false
 			if err == nil {
--- a/internal/state/view.go
+++ b/internal/state/view.go
@@ -1,7 +1,7 @@
 package state
 
 import (
-	"amaranthvalve/internal/talk"
+	"amaranthvalve/internal/proto"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/ident"
 	"amaranthvalve/pkg/member"
@@ -14,14 +14,14 @@
 	plan      *plan.Plan
 	offset    int64
 	asOf      clock.Milli
-	endpoints []talk.Endpoint
+	endpoints []proto.Endpoint
 	// digest identifies the list of endpoints; pastLists has earlier lists.
 	digest    uint64
 	pastLists []endpointList
 	// endpointsKnown is set if endpoints were read, or received from another instance.
 	endpointsKnown bool
 	members        []member.Member
-	homes          map[string][]ident.Incarnation
+	coordinators   map[string][]ident.Incarnation
 	// answeredAt is when the store last answered, storeDelay how much longer than asked that took.
 	answeredAt  clock.Milli
 	storeDelay  clock.Milli
@@ -34,7 +34,7 @@
 }
 
 // ViewOf returns a view with a plan and endpoints only, for decisions made without a control loop.
-func ViewOf(pln *plan.Plan, endpoints ...talk.Endpoint) *View {
+func ViewOf(pln *plan.Plan, endpoints ...proto.Endpoint) *View {
 	return &View{plan: pln, endpoints: endpoints, endpointsKnown: true, offset: -1}
 }
 
@@ -51,7 +51,7 @@
 func (vw *View) Members() []member.Member { return vw.members }
 
 // Endpoints returns all endpoints.
-func (vw *View) Endpoints() []talk.Endpoint { return vw.endpoints }
+func (vw *View) Endpoints() []proto.Endpoint { return vw.endpoints }
 
 // IsLeaving reports whether an endpoint is leaving: it announced that, or has no entry. An endpoint
 // that has ended keeps its entry for some seconds.
@@ -60,9 +60,9 @@
 	return !ok || ep.Leaving
 }
 
-// Gatherers returns the instances in the order in which they coordinate a pool: batch its items or
+// Coordinators returns the instances in the order in which they coordinate a pool: batch its items or
 // place its prompts, and own the rates of its endpoints.
-func (vw *View) Gatherers(pool string) []ident.Incarnation { return vw.homes[pool] }
+func (vw *View) Coordinators(pool string) []ident.Incarnation { return vw.coordinators[pool] }
 
 // Suspects returns the fingerprints of requests under which endpoints have crashed.
 func (vw *View) Suspects() *poison.List { return vw.suspects }
--- a/internal/trial/doc.go
+++ b/internal/trial/doc.go
@@ -2,7 +2,7 @@
 // fake time and with fixed seeds.
 //
 // The decision code is the daemon's own: admit.Gate with its routing, queue,
-// limits and retry budget, and admit.Need for measured times. What is fake is
+// limits and retry budget, and admit.Estimator for measured times. What is fake is
 // small: endpoints that batch and queue, reports that lag, callers that arrive
 // at random. It is no simulator of the system: there are no messages between
 // instances, no log and no membership.
--- a/internal/trial/request.go
+++ b/internal/trial/request.go
@@ -25,18 +25,18 @@
 	sentAt   clock.Milli
 }
 
-func (req *request) run() *run          { return req.ins.run }
-func (req *request) now() clock.Milli   { return req.run().tln.now }
-func (req *request) pool() string       { return req.svc.stages[req.stage].pool }
-func (req *request) gate() *admit.Gate  { return req.ins.gates[req.pool()] }
-func (req *request) left() clock.Milli  { return req.deadline - req.now() }
-func (req *request) need() *admit.Need  { return req.ins.need(req.svc, req.stage) }
-func (req *request) guess() clock.Milli { return req.run().guess(req.pool()) }
+func (req *request) run() *run              { return req.ins.run }
+func (req *request) now() clock.Milli       { return req.run().tln.now }
+func (req *request) pool() string           { return req.svc.stages[req.stage].pool }
+func (req *request) gate() *admit.Gate      { return req.ins.gates[req.pool()] }
+func (req *request) left() clock.Milli      { return req.deadline - req.now() }
+func (req *request) need() *admit.Estimator { return req.ins.need(req.svc, req.stage) }
+func (req *request) guess() clock.Milli     { return req.run().guess(req.pool()) }
 
-func (req *request) bounds() retry.Bounds { return retry.For(req.run().pol.Cost) }
+func (req *request) bounds() retry.Bounds { return retry.BoundsFor(req.run().pol.Cost) }
 
 func (req *request) ask(need clock.Milli) admit.Ask {
-	return admit.Ask{Workspace: req.wsp.name, Share: req.wsp.weight, Priority: req.svc.priority, Deadline: req.deadline, Need: need}
+	return admit.Ask{Workspace: req.wsp.name, Share: req.wsp.weight, Priority: req.svc.priority, Deadline: req.deadline, Estimate: need}
 }
 
 // later adds up the typical needs of the stages from i on.
@@ -45,9 +45,9 @@
 	for ; i < len(req.svc.stages); i++ {
 		ned, guess := req.ins.need(req.svc, i), req.run().guess(req.svc.stages[i].pool)
 		if req.run().pol.Mean {
-			sum += ned.Typical(guess, req.now())
+			sum += ned.Mean(guess, req.now())
 		} else {
-			sum += ned.Careful(guess, req.now())
+			sum += ned.Upper(guess, req.now())
 		}
 	}
 	return sum
@@ -58,7 +58,7 @@
 	if req.run().pol.Admission {
 		wait := clock.Milli(0)
 		for i := range req.svc.stages {
-			wait += req.ins.gates[req.svc.stages[i].pool].Queue().Wait(req.ask(0))
+			wait += req.ins.gates[req.svc.stages[i].pool].Queue().EstimateWait(req.ask(0))
 		}
 		if wait+req.later(0) > req.left() {
 			req.end("deadline_too_short")
@@ -71,7 +71,7 @@
 // enter begins a stage.
 func (req *request) enter() {
 	req.tries, req.avoid = 0, nil
-	req.gate().First()
+	req.gate().RecordAttempt()
 	req.acquire()
 }
 
@@ -80,7 +80,7 @@
 	if req.svc.stages[req.stage].prefix {
 		where.Prefix = req.prefix
 	}
-	ep, tkt, ans := req.gate().Enter(where, req.ask(req.later(req.stage)), req.now(), func(ep route.Endpoint, word admit.Word) {
+	ep, tkt, ans := req.gate().Enter(where, req.ask(req.later(req.stage)), req.now(), func(ep route.Endpoint, word admit.Outcome) {
 		req.ticket = nil
 		switch word {
 		case admit.Served:
@@ -107,7 +107,7 @@
 
 func (req *request) send(ep route.Endpoint) {
 	if req.over {
-		req.gate().Finish(ep.ID, route.Neutral, 0, req.now())
+		req.gate().Finish(ep.ID, route.Cancelled, 0, req.now())
 		return
 	}
 	rnn := req.run()
@@ -121,9 +121,9 @@
 	wrk.done = func(ok bool, engine clock.Milli) { req.answered(wrk, ok, engine) }
 	switch {
 	case wrk.prefix != 0:
-		rnn.tln.after(max(stall, patience*req.ins.first.Careful(stall/4, req.now())), func() { req.stalled(wrk) })
+		rnn.tln.after(max(stall, patience*req.ins.first.Upper(stall/4, req.now())), func() { req.stalled(wrk) })
 	case req.tries < req.bounds().Attempts():
-		allow := max(minPatience, patience*req.need().Careful(req.guess(), req.now()))
+		allow := max(minPatience, patience*req.need().Upper(req.guess(), req.now()))
 		rnn.tln.after(allow, func() { req.impatient(wrk) })
 	}
 	for _, srv := range rnn.pools[req.pool()] {
@@ -141,11 +141,11 @@
 	req.cur = nil
 	if !ok {
 		req.run().res.waste(engine)
-		req.gate().Finish(req.ep.ID, route.Broken, took, req.now())
+		req.gate().Finish(req.ep.ID, route.Failure, took, req.now())
 		req.again()
 		return
 	}
-	req.gate().Finish(req.ep.ID, route.Good, took, req.now())
+	req.gate().Finish(req.ep.ID, route.Success, took, req.now())
 	if !req.run().scn.stale {
 		req.gate().Pool().Report(req.ep.ID, wrk.srv.load(), req.now())
 	}
@@ -184,12 +184,12 @@
 		req.run().tln.after(stall, func() { req.stalled(wrk) })
 		return
 	}
-	req.giveUp(route.Broken)
+	req.giveUp(route.Failure)
 	req.again()
 }
 
 // giveUp cancels the present attempt and counts what it has cost.
-func (req *request) giveUp(ver route.Verdict) {
+func (req *request) giveUp(ver route.Outcome) {
 	cost := req.cur.cancel()
 	req.cur = nil
 	req.run().res.cost(req.pool(), cost)
@@ -198,7 +198,7 @@
 }
 
 func (req *request) again() {
-	if req.tries >= req.bounds().Attempts() && req.run().pol.Bounded || !req.gate().MayRetry(req.bounds()) {
+	if req.tries >= req.bounds().Attempts() && req.run().pol.Bounded || !req.gate().TakeRetry(req.bounds()) {
 		req.end("stage_failed")
 		return
 	}
--- a/internal/trial/run.go
+++ b/internal/trial/run.go
@@ -37,9 +37,9 @@
 type instance struct {
 	run   *run
 	gates map[string]*admit.Gate
-	needs map[string]*admit.Need
+	needs map[string]*admit.Estimator
 	// first is the time to a generation's first token.
-	first admit.Need
+	first admit.Estimator
 }
 
 // Measure runs a scenario under a policy.
@@ -77,7 +77,7 @@
 }
 
 func (rnn *run) newInstance() *instance {
-	ins := &instance{run: rnn, gates: map[string]*admit.Gate{}, needs: map[string]*admit.Need{}}
+	ins := &instance{run: rnn, gates: map[string]*admit.Gate{}, needs: map[string]*admit.Estimator{}}
 	for _, pln := range rnn.dpl.pools {
 		rt := route.New("dc1", rand.New(rand.NewPCG(rnn.rng.Uint64(), 1)))
 		rt.UseBaseline(rnn.pol.Route)
@@ -200,11 +200,11 @@
 	req.begin()
 }
 
-func (ins *instance) need(svc servicePlan, i int) *admit.Need {
+func (ins *instance) need(svc servicePlan, i int) *admit.Estimator {
 	key := fmt.Sprintf("%s/%d", svc.name, i)
 	ned, ok := ins.needs[key]
 	if !ok {
-		ned = &admit.Need{}
+		ned = &admit.Estimator{}
 		ins.needs[key] = ned
 	}
 	return ned
--- a/internal/walk/walk.go
+++ b/internal/walk/walk.go
@@ -58,7 +58,7 @@
 	ends := make(chan ended[T])
 	under := 0
 	for !run.Over() {
-		for _, stg := range run.Begin(stp.Span) {
+		for _, stg := range run.Start(stp.Span) {
 			work := stp.Begin(stg)
 			under++
 			go func() { ends <- ended[T]{stg: stg, out: work(ctx)} }()
--- a/internal/walk/walk_test.go
+++ b/internal/walk/walk_test.go
@@ -94,7 +94,7 @@
 		Ended: func(stg, _ int) Word {
 			times[stg]++
 			if stg == 2 && times[2] == 1 {
-				run.Undo(2, func(int) bool { return false })
+				run.Reset(2, func(int) bool { return false })
 				return Undone
 			}
 			return Made
--- a/pkg/admit/admit.go
+++ b/pkg/admit/admit.go
@@ -33,8 +33,8 @@
 	Priority int
 	// Deadline is the instant by which the whole request must be answered.
 	Deadline clock.Milli
-	// Need is the estimated time of this stage and the following ones.
-	Need clock.Milli
+	// Estimate is the estimated time of this stage and the following ones.
+	Estimate clock.Milli
 }
 
 // Ticket identifies a queued request.
@@ -43,16 +43,16 @@
 	start float64
 	seq   uint64
 	// ready is called once, when the request leaves the queue other than by [Queue.Leave].
-	ready func(out Word, now clock.Milli)
+	ready func(out Outcome, now clock.Milli)
 }
 
-// Word is the final outcome of a queued request.
-type Word int
+// Outcome is the final outcome of a queued request.
+type Outcome int
 
 // Outcomes of a queued request.
 const (
 	// Served: the request was dequeued for an endpoint.
-	Served Word = iota
+	Served Outcome = iota
 	// Late: the request can no longer meet its deadline.
 	Late
 	// Displaced: the queue was full and a request of higher priority took the slot.
@@ -95,8 +95,8 @@
 	TooLate
 )
 
-// Wait estimates the queueing delay of a request that would join now.
-func (que *Queue) Wait(ask Ask) clock.Milli {
+// EstimateWait estimates the queueing delay of a request that would join now.
+func (que *Queue) EstimateWait(ask Ask) clock.Milli {
 	ahead := 0
 	mine := 0
 	for _, tkt := range que.waiting {
@@ -133,11 +133,11 @@
 
 // Join adds a request to the queue, unless the queue is full or the request can't
 // meet its deadline. ready is called once with the outcome and must not block.
-func (que *Queue) Join(ask Ask, now clock.Milli, ready func(out Word, now clock.Milli)) (*Ticket, JoinResult) {
+func (que *Queue) Join(ask Ask, now clock.Milli, ready func(out Outcome, now clock.Milli)) (*Ticket, JoinResult) {
 	if len(que.waiting) >= maxQueued && !que.displace(ask, now) {
 		return nil, Full
 	}
-	if !que.fifo && now+que.Wait(ask)+ask.Need > ask.Deadline {
+	if !que.fifo && now+que.EstimateWait(ask)+ask.Estimate > ask.Deadline {
 		return nil, TooLate
 	}
 	que.seq++
@@ -237,7 +237,7 @@
 	}
 	var late []*Ticket
 	que.waiting = slices.DeleteFunc(que.waiting, func(tkt *Ticket) bool {
-		if now+tkt.ask.Need > tkt.ask.Deadline {
+		if now+tkt.ask.Estimate > tkt.ask.Deadline {
 			late = append(late, tkt)
 			return true
 		}
--- a/pkg/admit/admit_test.go
+++ b/pkg/admit/admit_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { golden.Main(m) }
 
-func ignore(Word, clock.Milli) {}
+func ignore(Outcome, clock.Milli) {}
 
 // TestBurstDelaysOnlyItsWorkspace guards against a burst that delays other workspaces:
 // a large workspace has 100 requests queued when a request of a small one arrives.
@@ -26,7 +26,7 @@
 	var que Queue
 	var order []string
 	join := func(wsp string) {
-		_, ver := que.Join(Ask{Workspace: wsp, Share: 1, Deadline: clock.Hour}, 1000, func(Word, clock.Milli) { order = append(order, wsp) })
+		_, ver := que.Join(Ask{Workspace: wsp, Share: 1, Deadline: clock.Hour}, 1000, func(Outcome, clock.Milli) { order = append(order, wsp) })
 		gom.Expect(ver).To(gomega.Equal(Queued))
 	}
 	for range 100 {
@@ -48,7 +48,7 @@
 		served := map[string]int{}
 		for range 60 {
 			for wsp, share := range shares {
-				_, _ = que.Join(Ask{Workspace: wsp, Share: share, Deadline: clock.Hour}, 1, func(out Word, _ clock.Milli) {
+				_, _ = que.Join(Ask{Workspace: wsp, Share: share, Deadline: clock.Hour}, 1, func(out Outcome, _ clock.Milli) {
 					if out == Served {
 						served[wsp]++
 					}
@@ -78,12 +78,12 @@
 			if rapid.Bool().Draw(t, "join") {
 				ask := Ask{
 					Workspace: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "who"), Share: 1, Priority: rapid.IntRange(0, 2).Draw(t, "priority"),
-					Need: clock.Milli(rapid.IntRange(0, 40).Draw(t, "need")), Deadline: now + clock.Milli(rapid.IntRange(0, 200).Draw(t, "deadline")),
+					Estimate: clock.Milli(rapid.IntRange(0, 40).Draw(t, "need")), Deadline: now + clock.Milli(rapid.IntRange(0, 200).Draw(t, "deadline")),
 				}
-				_, ver := que.Join(ask, now, func(out Word, at clock.Milli) {
+				_, ver := que.Join(ask, now, func(out Outcome, at clock.Milli) {
 					outcomes[i]++
-					if out == Served && at+ask.Need > ask.Deadline {
-						t.Fatalf("served at %d ms with an estimate of %d ms, deadline %d ms", at, ask.Need, ask.Deadline)
+					if out == Served && at+ask.Estimate > ask.Deadline {
+						t.Fatalf("served at %d ms with an estimate of %d ms, deadline %d ms", at, ask.Estimate, ask.Deadline)
 					}
 				})
 				if ver == Queued {
@@ -113,7 +113,7 @@
 	var que Queue
 	displaced, served := 0, ""
 	join := func(priority int, name string) JoinResult {
-		_, ver := que.Join(Ask{Workspace: "w", Share: 1, Priority: priority, Deadline: clock.Hour}, 1, func(out Word, _ clock.Milli) {
+		_, ver := que.Join(Ask{Workspace: "w", Share: 1, Priority: priority, Deadline: clock.Hour}, 1, func(out Outcome, _ clock.Milli) {
 			if out == Displaced {
 				displaced++
 			} else if served == "" {
@@ -138,12 +138,12 @@
 // whether the stage has recovered.
 func TestStaleEstimateExpires(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	var ned Need
+	var ned Estimator
 	for range 50 {
 		ned.Sample(20*clock.Second, 1000)
 	}
-	gom.Expect(ned.Careful(100, 1001)).To(gomega.BeNumerically(">", 12*clock.Second))
-	gom.Expect(ned.Careful(100, 1000+6*clock.Second)).To(gomega.Equal(clock.Milli(100)))
+	gom.Expect(ned.Upper(100, 1001)).To(gomega.BeNumerically(">", 12*clock.Second))
+	gom.Expect(ned.Upper(100, 1000+6*clock.Second)).To(gomega.Equal(clock.Milli(100)))
 }
 
 // TestRetriesStayWithinBudget: every call fails while requests are queued. Retries
@@ -155,12 +155,12 @@
 	rt.Sync([]route.Endpoint{{ID: "e", Zone: "dc1"}})
 	gate := NewGate(rt)
 	for range 16 {
-		_, _, _ = gate.Enter(route.Ask{}, Ask{Deadline: clock.Hour, Share: 1}, 1, func(route.Endpoint, Word) {})
+		_, _, _ = gate.Enter(route.Ask{}, Ask{Deadline: clock.Hour, Share: 1}, 1, func(route.Endpoint, Outcome) {})
 	}
 	retries := 0
 	for range 1000 {
-		gate.First()
-		if gate.MayRetry(retry.For(false)) {
+		gate.RecordAttempt()
+		if gate.TakeRetry(retry.BoundsFor(false)) {
 			retries++
 		}
 	}
@@ -170,7 +170,7 @@
 func ExampleQueue() {
 	var que Queue
 	for _, who := range []string{"large", "large", "small"} {
-		_, _ = que.Join(Ask{Workspace: who, Share: 1, Deadline: 5000}, 1000, func(Word, clock.Milli) { fmt.Println(who) })
+		_, _ = que.Join(Ask{Workspace: who, Share: 1, Deadline: 5000}, 1000, func(Outcome, clock.Milli) { fmt.Println(who) })
 	}
 	for range 3 {
 		que.Serve(1001)
--- a/pkg/admit/gate.go
+++ b/pkg/admit/gate.go
@@ -48,7 +48,7 @@
 
 // Enter requests a slot at an endpoint. If the request has to wait, ready is called
 // once: with Served and the endpoint, or with the reason why there is none.
-func (gt *Gate) Enter(where route.Ask, ask Ask, now clock.Milli, ready func(ep route.Endpoint, out Word)) (route.Endpoint, *Ticket, EnterResult) {
+func (gt *Gate) Enter(where route.Ask, ask Ask, now clock.Milli, ready func(ep route.Endpoint, out Outcome)) (route.Endpoint, *Ticket, EnterResult) {
 	if gt.rt.Usable() == 0 {
 		return route.Endpoint{}, nil, RefusedEmpty
 	}
@@ -57,7 +57,7 @@
 			return ep, nil, Granted
 		}
 	}
-	tkt, ver := gt.que.Join(ask, now, func(out Word, at clock.Milli) {
+	tkt, ver := gt.que.Join(ask, now, func(out Outcome, at clock.Milli) {
 		ready(gt.assign(where, out, at))
 	})
 	switch ver {
@@ -70,7 +70,7 @@
 }
 
 // assign picks an endpoint for a request that was served and passes on other outcomes.
-func (gt *Gate) assign(where route.Ask, out Word, now clock.Milli) (route.Endpoint, Word) {
+func (gt *Gate) assign(where route.Ask, out Outcome, now clock.Milli) (route.Endpoint, Outcome) {
 	if out != Served {
 		return route.Endpoint{}, out
 	}
@@ -87,7 +87,7 @@
 }
 
 // Finish releases a slot and serves queued requests.
-func (gt *Gate) Finish(id string, ver route.Verdict, took, now clock.Milli) {
+func (gt *Gate) Finish(id string, ver route.Outcome, took, now clock.Milli) {
 	gt.rt.Finish(id, ver, took, now)
 	gt.Tick(now)
 }
@@ -96,22 +96,22 @@
 // drops requests that can no longer meet their deadlines.
 func (gt *Gate) Tick(now clock.Milli) {
 	served := true
-	for served && gt.rt.Room(route.Ask{}) {
+	for served && gt.rt.Available(route.Ask{}) {
 		served = gt.que.Serve(now)
 	}
 	gt.que.Expire(now)
 }
 
-// First records a first attempt, which adds to the retry budget.
-func (gt *Gate) First() { gt.bdg.First() }
+// RecordAttempt records a first attempt, which adds to the retry budget.
+func (gt *Gate) RecordAttempt() { gt.bdg.First() }
 
-// MayRetry reports whether one retry is allowed and takes it from the budget. If the
+// TakeRetry reports whether one retry is allowed and takes it from the budget. If the
 // bounds permit it, a retry beyond the budget is allowed while the queue is empty and
 // less than half of the endpoints' capacity is in flight. The budget keeps retries
 // from adding to an overload; without an overload, a refusal would only waste the
 // work of earlier stages. Refusals and timeouts lower the endpoints' limits, which
 // ends this exception without further checks.
-func (gt *Gate) MayRetry(bnd retry.Bounds) bool {
+func (gt *Gate) TakeRetry(bnd retry.Bounds) bool {
 	return gt.plain || gt.bdg.Take() || bnd.Idle() && gt.idle()
 }
 
--- a/pkg/admit/needs.go
+++ b/pkg/admit/needs.go
@@ -9,21 +9,21 @@
 	staleAfter = 5 * clock.Second
 )
 
-// Need estimates the service time of one stage by the moving mean and mean
+// Estimator estimates the service time of one stage by the moving mean and mean
 // deviation of its samples (V. Jacobson, "Congestion avoidance and control",
 // SIGCOMM 1988). The zero value has no samples and returns the document's guess.
 //
 // A stale estimate is capped at the guess. Otherwise a stage that was slow for a
 // while would be refused for ever: while every request is refused as too late there
 // are no new samples that could show the recovery.
-type Need struct {
+type Estimator struct {
 	mean       float64
 	dev        float64
 	lastSample clock.Milli
 }
 
 // Sample records the duration of one run of the stage that ended at now.
-func (ned *Need) Sample(took, now clock.Milli) {
+func (ned *Estimator) Sample(took, now clock.Milli) {
 	val := float64(took)
 	if ned.lastSample == 0 {
 		ned.mean, ned.dev, ned.lastSample = val, val/2, now
@@ -38,20 +38,20 @@
 	ned.dev += sampleWeight * (diff - ned.dev)
 }
 
-// Typical returns the mean service time.
-func (ned *Need) Typical(guess, now clock.Milli) clock.Milli {
+// Mean returns the mean service time.
+func (ned *Estimator) Mean(guess, now clock.Milli) clock.Milli {
 	return ned.current(clock.Milli(ned.mean), guess, now)
 }
 
-// Careful returns the mean plus twice the deviation, an upper estimate that few runs
+// Upper returns the mean plus twice the deviation, an upper estimate that few runs
 // exceed. Admission uses it because the mean admits, under overload, the half of the
 // requests that take longer than the mean, and these then miss their deadlines.
-func (ned *Need) Careful(guess, now clock.Milli) clock.Milli {
+func (ned *Estimator) Upper(guess, now clock.Milli) clock.Milli {
 	return ned.current(clock.Milli(ned.mean+2*ned.dev), guess, now)
 }
 
 // current returns the measured value, or the guess where there is no fresh measurement.
-func (ned *Need) current(measured, guess, now clock.Milli) clock.Milli {
+func (ned *Estimator) current(measured, guess, now clock.Milli) clock.Milli {
 	switch {
 	case ned.lastSample == 0:
 		return guess
--- a/pkg/admit/time.go
+++ b/pkg/admit/time.go
@@ -9,16 +9,16 @@
 // admitted at the last millisecond were late and used slots that others needed.
 const contendedShare = 0.75
 
-// Times is the time budget of a request on arrival.
-type Times struct {
-	// Need is the estimated time of the stages, including their queueing delays.
-	Need clock.Milli
-	// Left is the time until the caller's deadline, InTime the time until the target
+// Budget is the time budget of a request on arrival.
+type Budget struct {
+	// Estimate is the estimated time of the stages, including their queueing delays.
+	Estimate clock.Milli
+	// ToDeadline is the time until the caller's deadline, InTime the time until the target
 	// latency is exceeded. They are equal for a request without a target latency.
-	Left   clock.Milli
-	InTime clock.Milli
-	// Crowded is set if other requests are queued at the pools of this one.
-	Crowded bool
+	ToDeadline clock.Milli
+	ToTarget   clock.Milli
+	// Contended is set if other requests are queued at the pools of this one.
+	Contended bool
 }
 
 // Admission is the admission decision for a request.
@@ -30,28 +30,28 @@
 	LetIn Admission = iota
 	// Hopeless: the request can't be answered before the caller's deadline.
 	Hopeless
-	// LateInCrowd: the request would probably exceed the target latency and take a slot
+	// ShedLate: the request would probably exceed the target latency and take a slot
 	// from another request that can meet it.
-	LateInCrowd
+	ShedLate
 )
 
 // Judge decides on admission when the request arrives. A refusal on arrival costs nothing;
 // a later one wastes endpoint time and leaves the caller less time for a retry.
-func (tms Times) Judge() Admission {
+func (tms Budget) Judge() Admission {
 	switch {
-	case tms.Need > tms.Left:
+	case tms.Estimate > tms.ToDeadline:
 		return Hopeless
-	case tms.Crowded && float64(tms.Need) > contendedShare*float64(tms.InTime):
-		return LateInCrowd
+	case tms.Contended && float64(tms.Estimate) > contendedShare*float64(tms.ToTarget):
+		return ShedLate
 	}
 	return LetIn
 }
 
-// Over returns by how much the estimate exceeds the available time. It is the shortest
+// Excess returns by how much the estimate exceeds the available time. It is the shortest
 // useful retry-after delay if the queues drain in the meantime.
-func (tms Times) Over() clock.Milli {
-	if tms.Need > tms.Left {
-		return tms.Need - tms.Left
+func (tms Budget) Excess() clock.Milli {
+	if tms.Estimate > tms.ToDeadline {
+		return tms.Estimate - tms.ToDeadline
 	}
-	return tms.Need - tms.InTime
+	return tms.Estimate - tms.ToTarget
 }
--- a/pkg/admit/time_test.go
+++ b/pkg/admit/time_test.go
@@ -10,10 +10,10 @@
 	"amaranthvalve/pkg/clock"
 )
 
-func ExampleTimes_Judge() {
-	fmt.Println(Times{Need: 900, Left: 8000, InTime: 1400}.Judge() == LetIn)
-	fmt.Println(Times{Need: 1200, Left: 8000, InTime: 1400, Crowded: true}.Judge() == LateInCrowd)
-	fmt.Println(Times{Need: 8001, Left: 8000, InTime: 1400}.Judge() == Hopeless)
+func ExampleBudget_Judge() {
+	fmt.Println(Budget{Estimate: 900, ToDeadline: 8000, ToTarget: 1400}.Judge() == LetIn)
+	fmt.Println(Budget{Estimate: 1200, ToDeadline: 8000, ToTarget: 1400, Contended: true}.Judge() == ShedLate)
+	fmt.Println(Budget{Estimate: 8001, ToDeadline: 8000, ToTarget: 1400}.Judge() == Hopeless)
 	// Output:
 	// true
 	// true
@@ -25,11 +25,11 @@
 // are queued it must be refused, since it would make one of them late too.
 func TestLateIsServedWhereNobodyWaits(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	late := Times{Need: 2000, Left: 8000, InTime: 1400}
+	late := Budget{Estimate: 2000, ToDeadline: 8000, ToTarget: 1400}
 	gom.Expect(late.Judge()).To(gomega.Equal(LetIn))
-	late.Crowded = true
-	gom.Expect(late.Judge()).To(gomega.Equal(LateInCrowd))
-	gom.Expect(late.Over()).To(gomega.Equal(clock.Milli(600)))
+	late.Contended = true
+	gom.Expect(late.Judge()).To(gomega.Equal(ShedLate))
+	gom.Expect(late.Excess()).To(gomega.Equal(clock.Milli(600)))
 }
 
 // TestBurstIsLimitedOnArrival sends a burst to a pool that serves one request in 100 ms.
@@ -42,13 +42,13 @@
 	const pace, slower, own, goal = 100.0, 1.33, 300, 1400
 	admitted := 0
 	for range 50 {
-		tms := Times{Need: clock.Milli(pace*float64(admitted)) + own, Left: 8000, InTime: goal, Crowded: admitted > 2}
+		tms := Budget{Estimate: clock.Milli(pace*float64(admitted)) + own, ToDeadline: 8000, ToTarget: goal, Contended: admitted > 2}
 		if tms.Judge() == LetIn {
 			admitted++
 			gom.Expect((pace*float64(admitted-1)+own)*slower).To(gomega.BeNumerically("<=", goal), "request %d in the queue", admitted)
 			continue
 		}
-		gom.Expect(tms.Need - tms.InTime).To(gomega.Equal(tms.Over()))
+		gom.Expect(tms.Estimate - tms.ToTarget).To(gomega.Equal(tms.Excess()))
 	}
 	gom.Expect(admitted).To(gomega.Equal(8))
 }
@@ -58,11 +58,11 @@
 func TestAdmissionIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) clock.Milli { return clock.Milli(rapid.IntRange(0, 10000).Draw(t, name)) }
-		tms := Times{Need: draw("need"), Left: draw("left"), Crowded: rapid.Bool().Draw(t, "crowded")}
-		tms.InTime = min(tms.Left, draw("goal"))
+		tms := Budget{Estimate: draw("need"), ToDeadline: draw("left"), Contended: rapid.Bool().Draw(t, "crowded")}
+		tms.ToTarget = min(tms.ToDeadline, draw("goal"))
 		worse := tms
-		worse.Need += draw("more")
-		worse.Crowded = worse.Crowded || rapid.Bool().Draw(t, "crowd")
+		worse.Estimate += draw("more")
+		worse.Contended = worse.Contended || rapid.Bool().Draw(t, "crowd")
 		if tms.Judge() != LetIn && worse.Judge() == LetIn {
 			t.Fatalf("%+v is refused, but %+v is admitted", tms, worse)
 		}
--- a/pkg/ending/ending.go
+++ b/pkg/ending/ending.go
@@ -74,14 +74,14 @@
 // over, outlasted, is the endpoint's fault; were it neutral, an endpoint that is too
 // slow for every deadline would never be found out, for only fast answers would be
 // counted. One that we gave up because its caller went, or sent nothing of, is nobody's.
-func (end Ending) Verdict(outlasted bool) route.Verdict {
+func (end Ending) Verdict(outlasted bool) route.Outcome {
 	switch {
 	case end == Answered:
-		return route.Good
+		return route.Success
 	case end == Refused || end == GaveUp && outlasted:
 		return route.Overload
 	case end == GaveUp || end == Withheld:
-		return route.Neutral
+		return route.Cancelled
 	}
-	return route.Broken
+	return route.Failure
 }
--- a/pkg/ending/ending_test.go
+++ b/pkg/ending/ending_test.go
@@ -35,12 +35,12 @@
 func TestVerdicts(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	gom.Expect(GaveUp.Verdict(true)).To(gomega.Equal(route.Overload))
-	gom.Expect(GaveUp.Verdict(false)).To(gomega.Equal(route.Neutral))
-	gom.Expect(Withheld.Verdict(false)).To(gomega.Equal(route.Neutral))
+	gom.Expect(GaveUp.Verdict(false)).To(gomega.Equal(route.Cancelled))
+	gom.Expect(Withheld.Verdict(false)).To(gomega.Equal(route.Cancelled))
 	gom.Expect(Refused.Verdict(false)).To(gomega.Equal(route.Overload))
-	gom.Expect(Answered.Verdict(false)).To(gomega.Equal(route.Good))
+	gom.Expect(Answered.Verdict(false)).To(gomega.Equal(route.Success))
 	for _, end := range []Ending{NothingSent, Errored, Cut, Foreign, Unsigned} {
-		gom.Expect(end.Verdict(false)).To(gomega.Equal(route.Broken), end.String())
+		gom.Expect(end.Verdict(false)).To(gomega.Equal(route.Failure), end.String())
 	}
 }
 
--- a/pkg/gather/choose.go
+++ b/pkg/gather/choose.go
@@ -8,8 +8,8 @@
 )
 
 // Next returns a batch to send now, or false if none is due.
-func (sch *Book) Next(now clock.Milli) (Batch, bool) {
-	if len(sch.waiting) == 0 || sch.Space(now) > 0 {
+func (sch *Scheduler) Next(now clock.Milli) (Batch, bool) {
+	if len(sch.waiting) == 0 || sch.StartDelay(now) > 0 {
 		return Batch{}, false
 	}
 	sch.expire(now)
@@ -33,8 +33,8 @@
 
 // reservedElsewhere reports whether an item is still reserved for an endpoint in its preferred data
 // centre, which is not that of ep.
-func (sch *Book) reservedElsewhere(itm Piece, ep *endpoint, now clock.Milli) bool {
-	if itm.Zone == "" || itm.Zone == ep.Zone || now >= itm.NearUntil {
+func (sch *Scheduler) reservedElsewhere(itm Item, ep *endpoint, now clock.Milli) bool {
+	if itm.Zone == "" || itm.Zone == ep.Zone || now >= itm.LocalUntil {
 		return false
 	}
 	for _, oth := range sch.endpoints {
@@ -46,7 +46,7 @@
 }
 
 // expire drops results past their TTL and estimates of foreign results past theirs.
-func (sch *Book) expire(now clock.Milli) {
+func (sch *Scheduler) expire(now clock.Milli) {
 	for handle, res := range sch.results {
 		if now > res.until {
 			res.endpoint.heldBytes -= res.bytes
@@ -63,7 +63,7 @@
 // available returns the endpoints with a free slot. A slow endpoint is left out if the others would
 // complete the item sooner, including the time to start the queued items. Comparing it only with
 // the next free slot of a large pool left slow endpoints idle beside a long queue.
-func (sch *Book) available(now clock.Milli) []*endpoint {
+func (sch *Scheduler) available(now clock.Milli) []*endpoint {
 	var free []*endpoint
 	soonest := clock.Milli(-1)
 	for _, ep := range sch.endpoints {
@@ -74,7 +74,7 @@
 		if soonest < 0 || done < soonest {
 			soonest = done
 		}
-		if ep.batches < max(sch.spec.Places, 1) {
+		if ep.batches < max(sch.spec.Slots, 1) {
 			free = append(free, ep)
 		}
 	}
@@ -85,8 +85,8 @@
 }
 
 // backlogTime returns the time the pool takes to start the items that exceed one batch.
-func (sch *Book) backlogTime(now clock.Milli) clock.Milli {
-	beyond := len(sch.waiting) - sch.spec.Most
+func (sch *Scheduler) backlogTime(now clock.Milli) clock.Milli {
+	beyond := len(sch.waiting) - sch.spec.MaxItems
 	rate, _ := sch.effectiveSlots(now)
 	if beyond <= 0 || rate == 0 {
 		return 0
@@ -101,12 +101,12 @@
 // neither used nor released before its last item is complete. When they were sorted behind all
 // others, they waited until they expired while the results of the job occupied the storage that the
 // others needed: the pool stalled with its endpoints idle.
-func (sch *Book) sortWaiting(now clock.Milli) {
-	slices.SortStableFunc(sch.waiting, func(x, y Piece) int {
+func (sch *Scheduler) sortWaiting(now clock.Milli) {
+	slices.SortStableFunc(sch.waiting, func(x, y Item) int {
 		if classX, classY := sch.class(x, now), sch.class(y, now); classX != classY {
 			return cmp.Compare(classX, classY)
 		}
-		return cmp.Compare(x.Due+clock.Milli(x.Rank)*priorityStep, y.Due+clock.Milli(y.Rank)*priorityStep)
+		return cmp.Compare(x.Due+clock.Milli(x.Priority)*priorityStep, y.Due+clock.Milli(y.Priority)*priorityStep)
 	})
 }
 
@@ -119,9 +119,9 @@
 	lateClass
 )
 
-func (sch *Book) class(itm Piece, now clock.Milli) class {
+func (sch *Scheduler) class(itm Item, now clock.Milli) class {
 	switch {
-	case itm.Rest:
+	case itm.Begun:
 		return begunClass
 	case now+sch.spec.Time(1) <= itm.Due:
 		return onTimeClass
@@ -131,7 +131,7 @@
 
 // chooseEndpoint returns the available endpoint whose data centre most of the urgent items prefer,
 // among those that can accept at least one of them now.
-func (sch *Book) chooseEndpoint(open []*endpoint, now clock.Milli) *endpoint {
+func (sch *Scheduler) chooseEndpoint(open []*endpoint, now clock.Milli) *endpoint {
 	next := sch.mostUrgent()
 	var best *endpoint
 	bestFor := -1
@@ -165,13 +165,13 @@
 	return ep.heldBytes+ep.foreignBytes < than.heldBytes+than.foreignBytes
 }
 
-func (sch *Book) fits(ep *endpoint, taken int64, itm Piece) bool {
-	return sch.spec.Room == 0 || ep.heldBytes+ep.foreignBytes+taken+itm.Bytes <= sch.spec.Room
+func (sch *Scheduler) fits(ep *endpoint, taken int64, itm Item) bool {
+	return sch.spec.Capacity == 0 || ep.heldBytes+ep.foreignBytes+taken+itm.Bytes <= sch.spec.Capacity
 }
 
 // mostUrgent returns the head of the sorted queue, extended to the end of a job.
-func (sch *Book) mostUrgent() []Piece {
-	n := min(len(sch.waiting), lookAheadBatches*sch.spec.Most)
+func (sch *Scheduler) mostUrgent() []Item {
+	n := min(len(sch.waiting), lookAheadBatches*sch.spec.MaxItems)
 	for n > 0 && n < len(sch.waiting) && sch.waiting[n].Job == sch.waiting[n-1].Job {
 		n++
 	}
@@ -179,39 +179,39 @@
 }
 
 // markBegunJobs marks the waiting items of jobs of which a batch has just taken items.
-func (sch *Book) markBegunJobs(items []Piece) {
+func (sch *Scheduler) markBegunJobs(items []Item) {
 	begun := make(map[int64]bool, len(items))
 	for _, itm := range items {
 		begun[itm.Job] = true
 	}
 	for i := range sch.waiting {
-		sch.waiting[i].Rest = sch.waiting[i].Rest || begun[sch.waiting[i].Job]
+		sch.waiting[i].Begun = sch.waiting[i].Begun || begun[sch.waiting[i].Job]
 	}
 }
 
 // startBatch records a batch as started and removes its items from the queue.
-func (sch *Book) startBatch(ep *endpoint, bld builder, now clock.Milli) (Batch, bool) {
-	bat := Batch{Maker: ep.Maker, Pieces: bld.items}
+func (sch *Scheduler) startBatch(ep *endpoint, bld builder, now clock.Milli) (Batch, bool) {
+	bat := Batch{Endpoint: ep.Endpoint, Items: bld.items}
 	taken, bytes := bld.taken, bld.bytes
-	if len(bat.Pieces) == 0 {
+	if len(bat.Items) == 0 {
 		return Batch{}, false
 	}
-	if len(sch.waiting) >= sch.spec.Most {
-		sch.meanFill = sch.expectedFill() + fillWeight*(float64(len(bat.Pieces))-sch.expectedFill())
+	if len(sch.waiting) >= sch.spec.MaxItems {
+		sch.meanFill = sch.expectedFill() + fillWeight*(float64(len(bat.Items))-sch.expectedFill())
 	}
-	sch.waiting = slices.DeleteFunc(sch.waiting, func(itm Piece) bool { return taken[itm.ID] })
+	sch.waiting = slices.DeleteFunc(sch.waiting, func(itm Item) bool { return taken[itm.ID] })
 	sch.markBegunJobs(bld.items)
-	sch.throughput.observe(len(bat.Pieces), len(sch.waiting) >= sch.spec.Most, now)
+	sch.throughput.observe(len(bat.Items), len(sch.waiting) >= sch.spec.MaxItems, now)
 	sch.lastID++
 	bat.ID = sch.lastID
-	expect := clock.Milli(ep.slowness(now) * float64(sch.spec.Time(len(bat.Pieces))))
-	bat.GiveUp = clock.Milli(timeoutFactor*float64(max(expect, sch.spec.Time(sch.spec.Most)))) + timeoutMargin
+	expect := clock.Milli(ep.slowness(now) * float64(sch.spec.Time(len(bat.Items))))
+	bat.Timeout = clock.Milli(timeoutFactor*float64(max(expect, sch.spec.Time(sch.spec.MaxItems)))) + timeoutMargin
 	if sch.batches == nil {
 		sch.batches = map[int64]*openBatch{}
 	}
-	sch.batches[bat.ID] = &openBatch{endpoint: ep, count: len(bat.Pieces), bytes: bytes, began: now, expect: expect}
+	sch.batches[bat.ID] = &openBatch{endpoint: ep, count: len(bat.Items), bytes: bytes, began: now, expect: expect}
 	ep.batches++
 	ep.heldBytes += bytes
-	sch.spacing.observe(sch.spec.Time(len(bat.Pieces)), now)
+	sch.spacing.observe(sch.spec.Time(len(bat.Items)), now)
 	return bat, true
 }
--- a/pkg/gather/doc.go
+++ b/pkg/gather/doc.go
@@ -5,7 +5,7 @@
 // An endpoint of a stage's pool processes items, from any requests, in batches of bounded size. A
 // batch has a fixed cost: eight items in one batch take less than half the time of eight batches. A
 // single instance sees too few requests to fill batches, so one instance schedules the items of a
-// pool for all instances. A [Book] is the state of this scheduler: the waiting items, the endpoints
+// pool for all instances. A [Scheduler] is the state of this scheduler: the waiting items, the endpoints
 // with their batches, and the results that still occupy storage.
 //
 // # Order
@@ -16,7 +16,7 @@
 // request a little late: the most overdue item would always go first, although its answer has
 // already lost most of its value.
 //
-// Batches of a pool start at even intervals: see [Book.Space].
+// Batches of a pool start at even intervals: see [Scheduler.StartDelay].
 //
 // # Locality and result storage
 //
@@ -27,7 +27,7 @@
 // that it would refuse after the time of a batch.
 //
 // Storage occupied by results of other schedulers is learned from the endpoint's report
-// ([Book.Told]) and from items that it refuses ([Book.Full]). A job is not split over batches,
+// ([Scheduler.ReportFree]) and from items that it refuses ([Scheduler.MarkFull]). A job is not split over batches,
 // except in pools so large that its remaining items follow within milliseconds.
 //
 // Two instances may schedule the same pool for a while, when their membership views differ. That
--- a/pkg/gather/fill.go
+++ b/pkg/gather/fill.go
@@ -10,9 +10,9 @@
 // centre or none, then the others. Jobs are kept whole where possible. A split job completes only
 // with the later of its batches; until then the results of the earlier one occupy storage to no
 // use, and the consumer has to fetch results from two endpoints.
-func (sch *Book) fill(ep *endpoint, now clock.Milli) (Batch, bool) {
+func (sch *Scheduler) fill(ep *endpoint, now clock.Milli) (Batch, bool) {
 	look := slices.Clone(sch.mostUrgent())
-	look = slices.DeleteFunc(look, func(itm Piece) bool { return sch.reservedElsewhere(itm, ep, now) })
+	look = slices.DeleteFunc(look, func(itm Item) bool { return sch.reservedElsewhere(itm, ep, now) })
 	bld := builder{sch: sch, ep: ep, taken: map[int64]bool{}}
 	jobs := groupByJob(look)
 	first := slices.IndexFunc(jobs, bld.fits)
@@ -20,10 +20,10 @@
 		return Batch{}, false
 	}
 	bld.add(jobs[first])
-	if jobs[first][0].Alone {
+	if jobs[first][0].Exclusive {
 		return sch.startBatch(ep, bld, now)
 	}
-	jobs = slices.DeleteFunc(jobs, func(job []Piece) bool { return job[0].Alone })
+	jobs = slices.DeleteFunc(jobs, func(job []Item) bool { return job[0].Exclusive })
 	for _, near := range []bool{true, false} {
 		for _, job := range jobs {
 			if (job[0].Zone == "" || job[0].Zone == ep.Zone) == near && !bld.taken[job[0].ID] && bld.fits(job) {
@@ -42,18 +42,18 @@
 // items are hardly delayed. In a pool of many endpoints, whose batches start some milliseconds
 // apart, batches of whole jobs only would leave part of each endpoint's capacity unused while
 // requests are refused.
-func (sch *Book) mayTopUp(bld builder, now clock.Milli) bool {
-	if len(sch.waiting)-len(bld.items) < sch.spec.Most || sch.spec.Room > 0 && float64(bld.bytes) > topUpRoomShare*float64(sch.spec.Room) {
+func (sch *Scheduler) mayTopUp(bld builder, now clock.Milli) bool {
+	if len(sch.waiting)-len(bld.items) < sch.spec.MaxItems || sch.spec.Capacity > 0 && float64(bld.bytes) > topUpRoomShare*float64(sch.spec.Capacity) {
 		return false
 	}
 	rate, _ := sch.effectiveSlots(now)
-	return rate > 0 && float64(sch.spec.Time(sch.spec.Most)) <= topUpIntervalMs*rate
+	return rate > 0 && float64(sch.spec.Time(sch.spec.MaxItems)) <= topUpIntervalMs*rate
 }
 
 // groupByJob groups items by job, in the order of the first item of each.
-func groupByJob(list []Piece) [][]Piece {
+func groupByJob(list []Item) [][]Item {
 	at := map[int64]int{}
-	var jobs [][]Piece
+	var jobs [][]Item
 	for _, itm := range list {
 		i, ok := at[itm.Job]
 		if !ok {
@@ -68,36 +68,36 @@
 
 // builder composes a batch.
 type builder struct {
-	sch   *Book
+	sch   *Scheduler
 	ep    *endpoint
-	items []Piece
+	items []Item
 	taken map[int64]bool
 	bytes int64
 }
 
 // fits reports whether the batch has room for a job: for all of it or, if the job may be split, for
 // its first item.
-func (bld *builder) fits(job []Piece) bool {
+func (bld *builder) fits(job []Item) bool {
 	var bytes int64
 	for _, itm := range job {
 		bytes += itm.Bytes
 	}
 	if bld.sch.maySplit(job, bytes) {
-		return len(bld.items) < bld.sch.spec.Most && bld.sch.fits(bld.ep, bld.bytes, job[0])
+		return len(bld.items) < bld.sch.spec.MaxItems && bld.sch.fits(bld.ep, bld.bytes, job[0])
 	}
-	return len(bld.items)+len(job) <= bld.sch.spec.Most && bld.sch.fits(bld.ep, bld.bytes+bytes, Piece{})
+	return len(bld.items)+len(job) <= bld.sch.spec.MaxItems && bld.sch.fits(bld.ep, bld.bytes+bytes, Item{})
 }
 
 // maySplit reports whether a job may be split over batches: one that has begun already, or one too
 // large for a batch.
-func (sch *Book) maySplit(job []Piece, bytes int64) bool {
-	return job[0].Rest || len(job) > sch.spec.Most || sch.spec.Room > 0 && float64(bytes) > wholeJobRoomShare*float64(sch.spec.Room)
+func (sch *Scheduler) maySplit(job []Item, bytes int64) bool {
+	return job[0].Begun || len(job) > sch.spec.MaxItems || sch.spec.Capacity > 0 && float64(bytes) > wholeJobRoomShare*float64(sch.spec.Capacity)
 }
 
 // add adds the items of a job that fit.
-func (bld *builder) add(job []Piece) {
+func (bld *builder) add(job []Item) {
 	for _, itm := range job {
-		if len(bld.items) >= bld.sch.spec.Most || bld.taken[itm.ID] || !bld.sch.fits(bld.ep, bld.bytes, itm) {
+		if len(bld.items) >= bld.sch.spec.MaxItems || bld.taken[itm.ID] || !bld.sch.fits(bld.ep, bld.bytes, itm) {
 			continue
 		}
 		bld.taken[itm.ID] = true
@@ -107,7 +107,7 @@
 }
 
 // topUp adds the items that fit of the most urgent job not in the batch yet.
-func (bld *builder) topUp(jobs [][]Piece) {
+func (bld *builder) topUp(jobs [][]Item) {
 	for _, job := range jobs {
 		if before := len(bld.items); !bld.taken[job[0].ID] {
 			bld.add(job)
--- a/pkg/gather/fill_test.go
+++ b/pkg/gather/fill_test.go
@@ -12,7 +12,7 @@
 // returns the number of items that wait after 10 s.
 func burst(endpoints int, perSecond float64) int {
 	sch := newScheduler(endpoints)
-	sch.Set(Spec{Places: 1, Most: 16, Call: 200, Item: 11})
+	sch.Set(Spec{Slots: 1, MaxItems: 16, BatchMs: 200, ItemMs: 11})
 	ends := map[int64]clock.Milli{}
 	jobs := int64(0)
 	for now := clock.Milli(0); now < 10*clock.Second; now++ {
@@ -21,12 +21,12 @@
 		}
 		for id, at := range ends {
 			if at <= now {
-				sch.Ended(id, Made, nil, now)
+				sch.Ended(id, Answered, nil, now)
 				delete(ends, id)
 			}
 		}
 		for bat, ok := sch.Next(now); ok; bat, ok = sch.Next(now) {
-			ends[bat.ID] = now + sch.spec.Time(len(bat.Pieces))
+			ends[bat.ID] = now + sch.spec.Time(len(bat.Items))
 		}
 	}
 	return sch.Waiting()
@@ -44,22 +44,22 @@
 	add(sch, 2, 3, 9000)
 	add(sch, 3, 3, 9000)
 	bat, _ := sch.Next(1000)
-	gom.Expect(bat.Pieces).To(gomega.HaveLen(3))
+	gom.Expect(bat.Items).To(gomega.HaveLen(3))
 
 	large := newScheduler(38)
-	large.Set(Spec{Places: 1, Most: 8, Call: 200, Item: 21, Room: 1900})
+	large.Set(Spec{Slots: 1, MaxItems: 8, BatchMs: 200, ItemMs: 21, Capacity: 1900})
 	for job := range int64(20) {
 		for i := range int64(3) {
-			large.Add(Piece{ID: job*3 + i, Job: job, Due: 9000, Until: 100000, Bytes: 150})
+			large.Add(Item{ID: job*3 + i, Job: job, Due: 9000, Expires: 100000, Bytes: 150})
 		}
 	}
 	bat, _ = large.Next(1000)
-	gom.Expect(bat.Pieces).To(gomega.HaveLen(8), "less than half of the result storage is occupied")
+	gom.Expect(bat.Items).To(gomega.HaveLen(8), "less than half of the result storage is occupied")
 	for i := range large.waiting {
 		large.waiting[i].Bytes = 158
 	}
 	bat, _ = large.Next(1000)
-	gom.Expect(bat.Pieces).To(gomega.HaveLen(7), "part of a job would occupy storage that is short")
+	gom.Expect(bat.Items).To(gomega.HaveLen(7), "part of a job would occupy storage that is short")
 }
 
 // TestExclusiveJob guards against a batch that mixes items of an exclusive job with others,
@@ -67,27 +67,27 @@
 func TestExclusiveJob(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	for _, first := range []int64{1, 2} {
-		sch := Book{}
-		sch.Set(Spec{Places: 1, Most: 10, Call: 100, Item: 1})
-		sch.Sync([]Maker{{ID: "a"}, {ID: "b"}, {ID: "c"}})
+		sch := Scheduler{}
+		sch.Set(Spec{Slots: 1, MaxItems: 10, BatchMs: 100, ItemMs: 1})
+		sch.Sync([]Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}})
 		for i, job := range []int64{1, 1, 2, 2, 3} {
 			due := clock.Minute
 			if job == first {
 				due = 10 * clock.Second
 			}
-			sch.Add(Piece{ID: int64(i), Job: job, Due: due, Until: clock.Hour, Alone: i == 3})
+			sch.Add(Item{ID: int64(i), Job: job, Due: due, Expires: clock.Hour, Exclusive: i == 3})
 		}
 		jobs := map[int64]bool{}
 		for i := range 2 {
 			bat, ok := sch.Next(clock.Milli(i) * clock.Second)
 			gom.Expect(ok).To(gomega.BeTrue())
 			alone := false
-			for _, itm := range bat.Pieces {
+			for _, itm := range bat.Items {
 				jobs[itm.Job] = true
 				alone = alone || itm.Job == 2
 			}
 			if alone {
-				gom.Expect(bat.Pieces).To(gomega.HaveLen(2))
+				gom.Expect(bat.Items).To(gomega.HaveLen(2))
 			}
 		}
 		gom.Expect(jobs).To(gomega.HaveLen(3))
--- a/pkg/gather/gather.go
+++ b/pkg/gather/gather.go
@@ -54,66 +54,66 @@
 
 // Spec describes how the endpoints of a pool process items.
 type Spec struct {
-	// Places is the number of concurrent batches of an endpoint.
-	Places int
-	// Most is the largest number of items in a batch.
-	Most int
-	// Call is the fixed time of a batch and Item the time that each item adds, in milliseconds.
-	Call float64
-	Item float64
-	// Room is the result storage of an endpoint in bytes; zero if unbounded.
-	Room int64
-	// Keep is the TTL of a result that is not released.
-	Keep clock.Milli
+	// Slots is the number of concurrent batches of an endpoint.
+	Slots int
+	// MaxItems is the largest number of items in a batch.
+	MaxItems int
+	// BatchMs is the fixed time of a batch and Item the time that each item adds, in milliseconds.
+	BatchMs float64
+	ItemMs  float64
+	// Capacity is the result storage of an endpoint in bytes; zero if unbounded.
+	Capacity int64
+	// TTL is the TTL of a result that is not released.
+	TTL clock.Milli
 }
 
 // Time returns the planned time of a batch of n items.
 func (spc Spec) Time(n int) clock.Milli {
-	return clock.Milli(spc.Call + spc.Item*float64(n))
+	return clock.Milli(spc.BatchMs + spc.ItemMs*float64(n))
 }
 
-// Maker is an endpoint of the pool.
-type Maker struct {
+// Endpoint is an endpoint of the pool.
+type Endpoint struct {
 	ID      string
 	Addr    string
 	Zone    string
 	Leaving bool
 }
 
-// Piece is an item: a unit of work of one stage of one request.
-type Piece struct {
+// Item is an item: a unit of work of one stage of one request.
+type Item struct {
 	// ID is assigned by the caller and identifies the item in all later calls.
 	ID int64
 	// Job groups the items of one stage of one request; the job is complete when all its items are.
 	Job int64
 	// Due is when the item must be complete for its request to be on time.
 	Due clock.Milli
-	// Until is when the item becomes useless.
-	Until clock.Milli
-	// Rank is the request's priority, 0 being the highest.
-	Rank int
+	// Expires is when the item becomes useless.
+	Expires clock.Milli
+	// Priority is the request's priority, 0 being the highest.
+	Priority int
 	// Zone is the preferred data centre, where the item's inputs are or its result will be used;
 	// empty if there is none.
 	Zone string
-	// NearUntil is how long the item waits for an endpoint in its preferred data centre.
-	NearUntil clock.Milli
+	// LocalUntil is how long the item waits for an endpoint in its preferred data centre.
+	LocalUntil clock.Milli
 	// Bytes is the estimated size of the result.
 	Bytes int64
-	// Rest reports that the job has begun: other items of it are complete or in progress, and their
+	// Begun reports that the job has begun: other items of it are complete or in progress, and their
 	// results occupy storage until this one is complete too.
-	Rest bool
-	// Alone makes the job exclusive: it shares no batch with other jobs, because an endpoint
+	Begun bool
+	// Exclusive makes the job exclusive: it shares no batch with other jobs, because an endpoint
 	// crashed under it and the next one may too.
-	Alone bool
+	Exclusive bool
 }
 
 // Batch is a set of items to be sent to an endpoint.
 type Batch struct {
-	ID     int64
-	Maker  Maker
-	Pieces []Piece
-	// GiveUp is the time-out of the batch.
-	GiveUp clock.Milli
+	ID       int64
+	Endpoint Endpoint
+	Items    []Item
+	// Timeout is the time-out of the batch.
+	Timeout clock.Milli
 }
 
 // Result is the result of an item; it occupies storage until it is released.
@@ -127,18 +127,18 @@
 
 // Verdicts of a batch.
 const (
-	// Made: the endpoint answered, with whatever outcome for each item.
-	Made Verdict = iota
-	// Full: the endpoint had no free slot.
-	Full
+	// Answered: the endpoint answered, with whatever outcome for each item.
+	Answered Verdict = iota
+	// Busy: the endpoint had no free slot.
+	Busy
 	// Failed: there was no answer or an invalid one.
 	Failed
-	// GivenUp: the batch was cancelled by its sender, which says nothing about the endpoint.
-	GivenUp
+	// Canceled: the batch was cancelled by its sender, which says nothing about the endpoint.
+	Canceled
 )
 
 type endpoint struct {
-	Maker
+	Endpoint
 	// foreignBytes is the storage occupied by results that this scheduler does not know, until
 	// foreignUntil.
 	foreignBytes int64
@@ -198,13 +198,13 @@
 	until    clock.Milli
 }
 
-// Book is the batch scheduler of a pool. The zero value is an empty pool. It is not safe for
+// Scheduler is the batch scheduler of a pool. The zero value is an empty pool. It is not safe for
 // concurrent use.
-type Book struct {
+type Scheduler struct {
 	spec      Spec
 	endpoints []*endpoint
 	byID      map[string]*endpoint
-	waiting   []Piece
+	waiting   []Item
 	batches   map[int64]*openBatch
 	results   map[string]storedResult
 	lastID    int64
@@ -217,11 +217,11 @@
 }
 
 // Set sets the specification of the pool.
-func (sch *Book) Set(spc Spec) { sch.spec = spc }
+func (sch *Scheduler) Set(spc Spec) { sch.spec = spc }
 
 // Sync replaces the list of endpoints; the state of those that remain is kept. An endpoint once
 // marked as leaving stays so.
-func (sch *Book) Sync(list []Maker) {
+func (sch *Scheduler) Sync(list []Endpoint) {
 	byID := make(map[string]*endpoint, len(list))
 	endpoints := make([]*endpoint, 0, len(list))
 	for _, ep := range list {
@@ -230,7 +230,7 @@
 			cur = &endpoint{slowRatio: 1}
 		}
 		leaving := cur.Leaving || ep.Leaving
-		cur.Maker = ep
+		cur.Endpoint = ep
 		cur.Leaving = leaving
 		byID[ep.ID] = cur
 		endpoints = append(endpoints, cur)
@@ -239,39 +239,39 @@
 }
 
 // Leave marks an endpoint as leaving.
-func (sch *Book) Leave(id string) {
+func (sch *Scheduler) Leave(id string) {
 	if ep, ok := sch.byID[id]; ok {
 		ep.Leaving = true
 	}
 }
 
-// Hold sends no batches to an endpoint until the given time.
-func (sch *Book) Hold(id string, until clock.Milli) {
+// Pause sends no batches to an endpoint until the given time.
+func (sch *Scheduler) Pause(id string, until clock.Milli) {
 	if ep, ok := sch.byID[id]; ok {
 		ep.pausedUntil = until
 	}
 }
 
 // Add queues an item. An exclusive item makes its whole job exclusive.
-func (sch *Book) Add(itm Piece) {
+func (sch *Scheduler) Add(itm Item) {
 	sch.waiting = append(sch.waiting, itm)
 	for i := range sch.waiting {
-		sch.waiting[i].Alone = sch.waiting[i].Alone || itm.Alone && sch.waiting[i].Job == itm.Job
+		sch.waiting[i].Exclusive = sch.waiting[i].Exclusive || itm.Exclusive && sch.waiting[i].Job == itm.Job
 	}
 }
 
 // Remove withdraws an item; it returns false if the item is not queued.
-func (sch *Book) Remove(id int64) bool {
+func (sch *Scheduler) Remove(id int64) bool {
 	before := len(sch.waiting)
-	sch.waiting = slices.DeleteFunc(sch.waiting, func(itm Piece) bool { return itm.ID == id })
+	sch.waiting = slices.DeleteFunc(sch.waiting, func(itm Item) bool { return itm.ID == id })
 	return before > len(sch.waiting)
 }
 
-// Expired removes and returns the items that can no longer be completed before they are of no use.
-func (sch *Book) Expired(now clock.Milli) []Piece {
-	var gone []Piece
-	sch.waiting = slices.DeleteFunc(sch.waiting, func(itm Piece) bool {
-		if now+sch.spec.Time(1) <= itm.Until {
+// TakeExpired removes and returns the items that can no longer be completed before they are of no use.
+func (sch *Scheduler) TakeExpired(now clock.Milli) []Item {
+	var gone []Item
+	sch.waiting = slices.DeleteFunc(sch.waiting, func(itm Item) bool {
+		if now+sch.spec.Time(1) <= itm.Expires {
 			return false
 		}
 		gone = append(gone, itm)
@@ -281,10 +281,10 @@
 }
 
 // Waiting returns the number of queued items.
-func (sch *Book) Waiting() int { return len(sch.waiting) }
+func (sch *Scheduler) Waiting() int { return len(sch.waiting) }
 
 // Usable returns the number of endpoints that are not leaving.
-func (sch *Book) Usable() int {
+func (sch *Scheduler) Usable() int {
 	n := 0
 	for _, ep := range sch.endpoints {
 		if !ep.Leaving {
@@ -297,12 +297,12 @@
 // Wait estimates how long an item added now would wait until its batch starts. It counts the
 // batches in progress and the queued items that can still be on time, started at the planned
 // interval or, if that is longer, at the measured one. Late items are overtaken and do not count.
-func (sch *Book) Wait(now clock.Milli) clock.Milli {
+func (sch *Scheduler) Wait(now clock.Milli) clock.Milli {
 	rate, soonest := sch.effectiveSlots(now)
 	if rate == 0 {
 		return maxEject
 	}
-	sch.throughput.observe(0, len(sch.waiting) >= sch.spec.Most, now)
+	sch.throughput.observe(0, len(sch.waiting) >= sch.spec.MaxItems, now)
 	interval := max(sch.plannedInterval(rate), sch.throughput.interval())
 	ahead := 0
 	for _, itm := range sch.waiting {
@@ -315,20 +315,20 @@
 
 // plannedInterval returns the planned time between the starts of two items with the given number of
 // slots, in milliseconds.
-func (sch *Book) plannedInterval(rate float64) float64 {
+func (sch *Scheduler) plannedInterval(rate float64) float64 {
 	fill := sch.expectedFill()
 	return float64(sch.spec.Time(int(fill))) / fill / rate
 }
 
 // effectiveSlots returns the number of usable slots, with those of slow endpoints weighted down,
 // and the time until the first of them is free.
-func (sch *Book) effectiveSlots(now clock.Milli) (rate float64, soonest clock.Milli) {
+func (sch *Scheduler) effectiveSlots(now clock.Milli) (rate float64, soonest clock.Milli) {
 	soonest = -1
 	for _, ep := range sch.endpoints {
 		if ep.Leaving || now < ep.blockedUntil || now < ep.pausedUntil {
 			continue
 		}
-		rate += float64(max(sch.spec.Places, 1)) / ep.slowness(now)
+		rate += float64(max(sch.spec.Slots, 1)) / ep.slowness(now)
 		if left := sch.untilFree(ep, now); soonest < 0 || left < soonest {
 			soonest = left
 		}
@@ -338,16 +338,16 @@
 
 // expectedFill returns the expected size of a batch while enough items wait: less than the limit
 // where result storage is short.
-func (sch *Book) expectedFill() float64 {
+func (sch *Scheduler) expectedFill() float64 {
 	if sch.meanFill == 0 {
-		return float64(max(sch.spec.Most, 1))
+		return float64(max(sch.spec.MaxItems, 1))
 	}
 	return max(sch.meanFill, 1)
 }
 
 // untilFree returns the time until an endpoint's next slot is free.
-func (sch *Book) untilFree(ep *endpoint, now clock.Milli) clock.Milli {
-	if ep.batches < max(sch.spec.Places, 1) {
+func (sch *Scheduler) untilFree(ep *endpoint, now clock.Milli) clock.Milli {
+	if ep.batches < max(sch.spec.Slots, 1) {
 		return 0
 	}
 	soonest := clock.Milli(0)
--- a/pkg/gather/gather_test.go
+++ b/pkg/gather/gather_test.go
@@ -10,28 +10,28 @@
 	"amaranthvalve/pkg/clock"
 )
 
-func newScheduler(endpoints int) *Book {
-	sch := &Book{}
-	sch.Set(Spec{Places: 1, Most: 4, Call: 200, Item: 20, Room: 1000, Keep: 4000})
-	var list []Maker
+func newScheduler(endpoints int) *Scheduler {
+	sch := &Scheduler{}
+	sch.Set(Spec{Slots: 1, MaxItems: 4, BatchMs: 200, ItemMs: 20, Capacity: 1000, TTL: 4000})
+	var list []Endpoint
 	for i := range endpoints {
-		list = append(list, Maker{ID: fmt.Sprintf("m%d", i), Zone: fmt.Sprintf("z%d", i)})
+		list = append(list, Endpoint{ID: fmt.Sprintf("m%d", i), Zone: fmt.Sprintf("z%d", i)})
 	}
 	sch.Sync(list)
 	return sch
 }
 
 // add queues the items of a job.
-func add(sch *Book, job, count, due int64) {
+func add(sch *Scheduler, job, count, due int64) {
 	for i := range count {
-		sch.Add(Piece{ID: job*100 + i, Job: job, Due: clock.Milli(due), Until: 100000})
+		sch.Add(Item{ID: job*100 + i, Job: job, Due: clock.Milli(due), Expires: 100000})
 	}
 }
 
 // jobsIn returns the jobs of a batch, in the order of their first items.
 func jobsIn(bat Batch) []int64 {
 	var list []int64
-	for _, itm := range bat.Pieces {
+	for _, itm := range bat.Items {
 		if len(list) == 0 || list[len(list)-1] != itm.Job {
 			list = append(list, itm.Job)
 		}
@@ -52,10 +52,10 @@
 	gom.Expect(jobsIn(bat)).To(gomega.Equal([]int64{3}))
 	_, ok = sch.Next(1000)
 	gom.Expect(ok).To(gomega.BeFalse(), "the only slot is busy")
-	sch.Ended(bat.ID, Made, nil, 1280)
+	sch.Ended(bat.ID, Answered, nil, 1280)
 	bat, _ = sch.Next(1280)
 	gom.Expect(jobsIn(bat)).To(gomega.Equal([]int64{2}))
-	sch.Ended(bat.ID, Made, nil, 1560)
+	sch.Ended(bat.ID, Answered, nil, 1560)
 	bat, _ = sch.Next(1560)
 	gom.Expect(jobsIn(bat)).To(gomega.Equal([]int64{1}))
 }
@@ -65,15 +65,15 @@
 func TestPriorityAdvancesDue(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	sch := newScheduler(1)
-	sch.Add(Piece{ID: 1, Job: 1, Due: 5000, Until: 9000, Rank: 2})
-	sch.Add(Piece{ID: 2, Job: 2, Due: 5400, Until: 9000, Rank: 0})
-	sch.Add(Piece{ID: 3, Job: 3, Due: 4000, Until: 9000, Rank: 2})
-	sch.spec.Most = 1
+	sch.Add(Item{ID: 1, Job: 1, Due: 5000, Expires: 9000, Priority: 2})
+	sch.Add(Item{ID: 2, Job: 2, Due: 5400, Expires: 9000, Priority: 0})
+	sch.Add(Item{ID: 3, Job: 3, Due: 4000, Expires: 9000, Priority: 2})
+	sch.spec.MaxItems = 1
 	var order []int64
 	for now := clock.Milli(0); sch.Waiting() > 0; now += 300 {
 		bat, _ := sch.Next(now)
-		order = append(order, bat.Pieces[0].Job)
-		sch.Ended(bat.ID, Made, nil, now+220)
+		order = append(order, bat.Items[0].Job)
+		sch.Ended(bat.ID, Answered, nil, now+220)
 	}
 	gom.Expect(order).To(gomega.Equal([]int64{3, 2, 1}))
 }
@@ -99,11 +99,11 @@
 	add(sch, 1, 5, 1000)
 	bat, _ := sch.Next(0)
 	gom.Expect(jobsIn(bat)).To(gomega.Equal([]int64{1}))
-	sch.Ended(bat.ID, Made, nil, 1500)
+	sch.Ended(bat.ID, Answered, nil, 1500)
 	add(sch, 2, 4, 3000)
 	bat, _ = sch.Next(1500)
 	gom.Expect(jobsIn(bat)).To(gomega.Equal([]int64{1}))
-	gom.Expect(bat.Pieces).To(gomega.HaveLen(1), "the other job goes whole into the next batch")
+	gom.Expect(bat.Items).To(gomega.HaveLen(1), "the other job goes whole into the next batch")
 }
 
 // TestLowRoomDoesNotSplitJobs: the only endpoint has storage for two more results, and a job of
@@ -113,8 +113,8 @@
 func TestLowRoomDoesNotSplitJobs(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	sch := newScheduler(1)
-	piece := func(job, index int64, due clock.Milli) Piece {
-		return Piece{ID: 10*job + index, Job: job, Due: due, Until: 9000, Bytes: 80}
+	piece := func(job, index int64, due clock.Milli) Item {
+		return Item{ID: 10*job + index, Job: job, Due: due, Expires: 9000, Bytes: 80}
 	}
 	sch.endpoints[0].heldBytes = 10 * 80
 	for i := range int64(3) {
@@ -126,11 +126,11 @@
 	bat, ok := sch.Next(0)
 	gom.Expect(ok).To(gomega.BeTrue())
 	gom.Expect(jobsIn(bat)).To(gomega.Equal([]int64{2}))
-	sch.Ended(bat.ID, Made, nil, 220)
+	sch.Ended(bat.ID, Answered, nil, 220)
 	sch.endpoints[0].heldBytes -= 160
 	bat, _ = sch.Next(220)
 	gom.Expect(jobsIn(bat)).To(gomega.Equal([]int64{1}))
-	gom.Expect(bat.Pieces).To(gomega.HaveLen(3))
+	gom.Expect(bat.Items).To(gomega.HaveLen(3))
 }
 
 // TestWaitsForPreferredZone: the inputs of a job are in z1, whose endpoint is busy. The job waits
@@ -140,18 +140,18 @@
 	sch := newScheduler(2)
 	add(sch, 1, 4, 9000)
 	for i := range sch.waiting {
-		sch.waiting[i].Zone, sch.waiting[i].NearUntil = "z1", 9000
+		sch.waiting[i].Zone, sch.waiting[i].LocalUntil = "z1", 9000
 	}
 	first, _ := sch.Next(0)
-	gom.Expect(first.Maker.Zone).To(gomega.Equal("z1"))
+	gom.Expect(first.Endpoint.Zone).To(gomega.Equal("z1"))
 
-	sch.Add(Piece{ID: 1, Job: 9, Due: 9000, Until: 9000, Zone: "z1", NearUntil: 200})
-	gom.Expect(sch.Space(199)).To(gomega.BeZero())
+	sch.Add(Item{ID: 1, Job: 9, Due: 9000, Expires: 9000, Zone: "z1", LocalUntil: 200})
+	gom.Expect(sch.StartDelay(199)).To(gomega.BeZero())
 	_, ok := sch.Next(199)
 	gom.Expect(ok).To(gomega.BeFalse(), "z1 will be free soon")
 	bat, ok := sch.Next(201)
 	gom.Expect(ok).To(gomega.BeTrue())
-	gom.Expect(bat.Maker.Zone).To(gomega.Equal("z0"))
+	gom.Expect(bat.Endpoint.Zone).To(gomega.Equal("z0"))
 }
 
 // TestBatchesFillByZone: the inputs of 24 jobs are spread over four data centres. A batch is filled
@@ -162,13 +162,13 @@
 	gom := gomega.NewWithT(t)
 	sch := newScheduler(4)
 	for i := range int64(24) {
-		sch.Add(Piece{ID: i, Job: i, Due: clock.Milli(5000 + i), Until: 100000, Zone: fmt.Sprintf("z%d", i%4)})
+		sch.Add(Item{ID: i, Job: i, Due: clock.Milli(5000 + i), Expires: 100000, Zone: fmt.Sprintf("z%d", i%4)})
 	}
 	bat, _ := sch.Next(0)
-	gom.Expect(bat.Pieces).To(gomega.HaveLen(4))
-	gom.Expect(bat.Pieces[0].Job).To(gomega.Equal(int64(0)))
-	for _, itm := range bat.Pieces {
-		gom.Expect(itm.Zone).To(gomega.Equal(bat.Maker.Zone))
+	gom.Expect(bat.Items).To(gomega.HaveLen(4))
+	gom.Expect(bat.Items[0].Job).To(gomega.Equal(int64(0)))
+	for _, itm := range bat.Items {
+		gom.Expect(itm.Zone).To(gomega.Equal(bat.Endpoint.Zone))
 	}
 }
 
@@ -179,11 +179,11 @@
 	gom := gomega.NewWithT(t)
 	sch := newScheduler(1)
 	for i := range int64(3) {
-		sch.Add(Piece{ID: i, Job: i, Due: 9000, Until: 99000, Bytes: 600})
+		sch.Add(Item{ID: i, Job: i, Due: 9000, Expires: 99000, Bytes: 600})
 	}
 	bat, _ := sch.Next(0)
-	gom.Expect(bat.Pieces).To(gomega.HaveLen(1))
-	sch.Ended(bat.ID, Made, []Result{{Handle: "h", Bytes: 600}}, 220)
+	gom.Expect(bat.Items).To(gomega.HaveLen(1))
+	sch.Ended(bat.ID, Answered, []Result{{Handle: "h", Bytes: 600}}, 220)
 	_, ok := sch.Next(220)
 	gom.Expect(ok).To(gomega.BeFalse())
 	ep, ok := sch.Free("h")
@@ -191,15 +191,15 @@
 	gom.Expect(ep.ID).To(gomega.Equal("m0"))
 	bat, ok = sch.Next(230)
 	gom.Expect(ok).To(gomega.BeTrue())
-	sch.Ended(bat.ID, Made, []Result{{Handle: "lost", Bytes: 600}}, 450)
+	sch.Ended(bat.ID, Answered, []Result{{Handle: "lost", Bytes: 600}}, 450)
 	_, ok = sch.Next(4000)
 	gom.Expect(ok).To(gomega.BeFalse())
 	bat, ok = sch.Next(4451)
 	gom.Expect(ok).To(gomega.BeTrue(), "the TTL of the result has passed")
-	sch.Ended(bat.ID, Made, nil, 4600)
+	sch.Ended(bat.ID, Answered, nil, 4600)
 
 	add(sch, 50, 1, 9000)
-	sch.Full("m0", 4600)
+	sch.MarkFull("m0", 4600)
 	_, ok = sch.Next(4601)
 	gom.Expect(ok).To(gomega.BeFalse())
 	_, ok = sch.Next(4600 + fullRetryDelay)
@@ -214,29 +214,29 @@
 	sch := newScheduler(2)
 	add(sch, 1, 4, 9000)
 	bat, _ := sch.Next(0)
-	slow := bat.Maker.ID
+	slow := bat.Endpoint.ID
 	sch.Ended(bat.ID, Failed, nil, 1140)
 	add(sch, 2, 4, 9000)
 	bat, _ = sch.Next(2000)
-	gom.Expect(bat.Maker.ID).NotTo(gomega.Equal(slow))
+	gom.Expect(bat.Endpoint.ID).NotTo(gomega.Equal(slow))
 	add(sch, 3, 4, 9000)
 	_, ok := sch.Next(2010)
 	gom.Expect(ok).To(gomega.BeFalse(), "the other endpoint completes it sooner")
-	sch.Ended(bat.ID, Made, nil, 2280)
+	sch.Ended(bat.ID, Answered, nil, 2280)
 	bat, _ = sch.Next(2280)
 	add(sch, 4, 4, 30000)
 	_, ok = sch.Next(20000)
 	gom.Expect(ok).To(gomega.BeTrue(), "the slowness has decayed")
-	gom.Expect(bat.Maker.ID).NotTo(gomega.Equal(slow))
+	gom.Expect(bat.Endpoint.ID).NotTo(gomega.Equal(slow))
 }
 
 // TestExpired: items that can no longer be completed in time to be of use are returned at once.
 func TestExpired(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	sch := newScheduler(1)
-	sch.Add(Piece{ID: 1, Job: 1, Due: 100, Until: 300})
-	gom.Expect(sch.Expired(80)).To(gomega.BeEmpty())
-	gom.Expect(sch.Expired(81)).To(gomega.HaveLen(1))
+	sch.Add(Item{ID: 1, Job: 1, Due: 100, Expires: 300})
+	gom.Expect(sch.TakeExpired(80)).To(gomega.BeEmpty())
+	gom.Expect(sch.TakeExpired(81)).To(gomega.HaveLen(1))
 	gom.Expect(sch.Waiting()).To(gomega.Equal(0))
 }
 
@@ -273,7 +273,7 @@
 			if !ok {
 				break
 			}
-			sch.Ended(bat.ID, Made, []Result{{Handle: fmt.Sprint(bat.ID), Bytes: 1000}}, now)
+			sch.Ended(bat.ID, Answered, []Result{{Handle: fmt.Sprint(bat.ID), Bytes: 1000}}, now)
 		}
 	}
 	fresh := newScheduler(2)
@@ -304,7 +304,7 @@
 				next++
 				for i := range int64(rapid.IntRange(1, 6).Draw(t, "count")) {
 					zone := rapid.SampledFrom([]string{"", "z0", "z1"}).Draw(t, "zone")
-					sch.Add(Piece{ID: next*100 + i, Job: next, Due: now + 500, Until: now + 90000, Zone: zone, NearUntil: now + 100, Bytes: 150})
+					sch.Add(Item{ID: next*100 + i, Job: next, Due: now + 500, Expires: now + 90000, Zone: zone, LocalUntil: now + 100, Bytes: 150})
 				}
 			case "next":
 				bat, ok := sch.Next(now)
@@ -312,7 +312,7 @@
 					continue
 				}
 				var bytes int64
-				for _, itm := range bat.Pieces {
+				for _, itm := range bat.Items {
 					if seen[itm.ID] {
 						t.Fatalf("item %d is in two batches", itm.ID)
 					}
@@ -320,24 +320,24 @@
 					bytes += itm.Bytes
 				}
 				for _, oth := range calls {
-					if oth.Maker.ID == bat.Maker.ID {
-						t.Fatalf("%s has two batches", bat.Maker.ID)
+					if oth.Endpoint.ID == bat.Endpoint.ID {
+						t.Fatalf("%s has two batches", bat.Endpoint.ID)
 					}
 				}
-				held[bat.Maker.ID] += bytes
-				if len(bat.Pieces) > 4 || len(bat.Pieces) == 0 || held[bat.Maker.ID] > 1000 || bat.Maker.ID == leaving {
-					t.Fatalf("batch %+v, held %d, leaving %q", bat, held[bat.Maker.ID], leaving)
+				held[bat.Endpoint.ID] += bytes
+				if len(bat.Items) > 4 || len(bat.Items) == 0 || held[bat.Endpoint.ID] > 1000 || bat.Endpoint.ID == leaving {
+					t.Fatalf("batch %+v, held %d, leaving %q", bat, held[bat.Endpoint.ID], leaving)
 				}
 				calls[bat.ID] = bat
 			case "end":
 				for id, bat := range calls {
 					var made []Result
-					for i := range bat.Pieces {
+					for i := range bat.Items {
 						name := fmt.Sprintf("%d-%d", id, i)
 						handles[name] = 1
 						made = append(made, Result{Handle: name, Bytes: 150})
 					}
-					sch.Ended(id, Made, made, now)
+					sch.Ended(id, Answered, made, now)
 					delete(calls, id)
 					break
 				}
@@ -355,7 +355,7 @@
 					sch.Leave(leaving)
 				}
 			case "full":
-				sch.Full("m1", now)
+				sch.MarkFull("m1", now)
 			}
 			if now > 3500 {
 				return // results would expire by themselves
@@ -370,26 +370,26 @@
 func TestRestartedEndpointIsReset(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	sch := newScheduler(0)
-	sch.Sync([]Maker{{ID: "m@1"}})
+	sch.Sync([]Endpoint{{ID: "m@1"}})
 	for i := range int64(4) {
-		sch.Add(Piece{ID: i, Job: i, Due: 9000, Until: 99000, Bytes: 250})
+		sch.Add(Item{ID: i, Job: i, Due: 9000, Expires: 99000, Bytes: 250})
 	}
 	first, ok := sch.Next(0)
 	gom.Expect(ok).To(gomega.BeTrue())
-	sch.Ended(first.ID, Made, []Result{{Handle: "h", Bytes: 1000}}, 900)
-	sch.Full("m@1", 900)
-	sch.Add(Piece{ID: 9, Job: 9, Due: 9000, Until: 99000, Bytes: 10})
+	sch.Ended(first.ID, Answered, []Result{{Handle: "h", Bytes: 1000}}, 900)
+	sch.MarkFull("m@1", 900)
+	sch.Add(Item{ID: 9, Job: 9, Due: 9000, Expires: 99000, Bytes: 10})
 	_, ok = sch.Next(910)
 	gom.Expect(ok).To(gomega.BeFalse())
 	sch.Leave("m@1")
 
-	sch.Sync([]Maker{{ID: "m@2"}})
-	gom.Expect(sch.Held("m@2")).To(gomega.BeZero())
+	sch.Sync([]Endpoint{{ID: "m@2"}})
+	gom.Expect(sch.HeldBytes("m@2")).To(gomega.BeZero())
 	second, ok := sch.Next(1000)
 	gom.Expect(ok).To(gomega.BeTrue())
-	gom.Expect(second.Maker.ID).To(gomega.Equal("m@2"))
+	gom.Expect(second.Endpoint.ID).To(gomega.Equal("m@2"))
 	sch.Free("h")
 	sch.Ended(first.ID, Failed, nil, 1010)
-	gom.Expect(sch.Held("m@2")).To(gomega.Equal(int64(10)))
+	gom.Expect(sch.HeldBytes("m@2")).To(gomega.Equal(int64(10)))
 	gom.Expect(sch.Usable()).To(gomega.Equal(1))
 }
--- a/pkg/gather/learn.go
+++ b/pkg/gather/learn.go
@@ -3,7 +3,7 @@
 import "amaranthvalve/pkg/clock"
 
 // Ended records the end of a batch and the results it produced.
-func (sch *Book) Ended(id int64, ver Verdict, made []Result, now clock.Milli) {
+func (sch *Scheduler) Ended(id int64, ver Verdict, made []Result, now clock.Milli) {
 	ob, ok := sch.batches[id]
 	if !ok {
 		return
@@ -16,18 +16,18 @@
 		sch.results = map[string]storedResult{}
 	}
 	for _, res := range made {
-		sch.results[res.Handle] = storedResult{endpoint: ep, bytes: res.Bytes, until: now + sch.spec.Keep}
+		sch.results[res.Handle] = storedResult{endpoint: ep, bytes: res.Bytes, until: now + sch.spec.TTL}
 		ep.heldBytes += res.Bytes
 	}
 	sch.updateHealth(ep, ob, ver, now)
 }
 
-func (sch *Book) updateHealth(ep *endpoint, ob *openBatch, ver Verdict, now clock.Milli) {
+func (sch *Scheduler) updateHealth(ep *endpoint, ob *openBatch, ver Verdict, now clock.Milli) {
 	switch ver {
-	case Made:
+	case Answered:
 		ep.failures = 0
 		ep.recordAnswer(float64(max(now-ob.began, 1))/float64(max(sch.spec.Time(ob.count), 1)), now)
-	case Full:
+	case Busy:
 		// Another instance schedules this pool too, or batches of the previous scheduler are still
 		// in progress; a slot may be free half a batch later.
 		ep.blockedUntil = now + sch.spec.Time(1)/2
@@ -37,45 +37,45 @@
 		ep.inferred = true
 		ep.blockedUntil = now + min(minEject<<min(ep.failures, 5), maxEject)
 		ep.failures++
-	case GivenUp:
+	case Canceled:
 	}
 }
 
-// Full records that an endpoint refused an item for lack of result storage. Sizes are estimates,
+// MarkFull records that an endpoint refused an item for lack of result storage. Sizes are estimates,
 // and other schedulers may have results there, so whatever this one's count says, no batch is sent
 // until a result is released or fullRetryDelay has passed. While results from before this scheduler
 // started may exist, the storage missing from its count is attributed to them for foreignTTL: after
 // a loss of all instances, batches sized by the count came back half refused until those results
 // expired, and partly completed jobs occupied what was left. Later a refusal only means that sizes
 // are estimates.
-func (sch *Book) Full(id string, now clock.Milli) {
+func (sch *Scheduler) MarkFull(id string, now clock.Milli) {
 	ep, ok := sch.byID[id]
 	if !ok {
 		return
 	}
 	ep.fullUntil = now + fullRetryDelay
-	if sch.spec.Room > 0 && now < sch.allKnownAt {
-		ep.foreignBytes = max(ep.foreignBytes, sch.spec.Room-ep.heldBytes)
+	if sch.spec.Capacity > 0 && now < sch.allKnownAt {
+		ep.foreignBytes = max(ep.foreignBytes, sch.spec.Capacity-ep.heldBytes)
 		ep.foreignUntil = max(ep.foreignUntil, now+foreignTTL)
 	}
 }
 
 // Begin records that this instance starts to schedule the pool: until the TTL of results has
 // passed, there may be results that it does not know.
-func (sch *Book) Begin(now clock.Milli) { sch.allKnownAt = now + sch.spec.Keep }
+func (sch *Scheduler) Begin(now clock.Milli) { sch.allKnownAt = now + sch.spec.TTL }
 
-// Told records the free result storage that an endpoint reports and returns the storage occupied by
+// ReportFree records the free result storage that an endpoint reports and returns the storage occupied by
 // foreign results. These were produced for a previous scheduler; their size only shrinks and is
 // zero once they expire. So a later report counts only if it lowers the estimate: a report is some
 // hundred milliseconds old, and own results released since would count as foreign.
-func (sch *Book) Told(id string, free int64, now clock.Milli) int64 {
+func (sch *Scheduler) ReportFree(id string, free int64, now clock.Milli) int64 {
 	ep, ok := sch.byID[id]
-	if !ok || sch.spec.Room == 0 {
+	if !ok || sch.spec.Capacity == 0 {
 		return 0
 	}
-	foreign := max(sch.spec.Room-free-ep.heldBytes, 0)
+	foreign := max(sch.spec.Capacity-free-ep.heldBytes, 0)
 	if now >= ep.foreignUntil {
-		ep.foreignBytes, ep.foreignUntil = foreign, now+sch.spec.Keep
+		ep.foreignBytes, ep.foreignUntil = foreign, now+sch.spec.TTL
 	}
 	ep.foreignBytes = min(ep.foreignBytes, foreign)
 	return ep.foreignBytes
@@ -83,19 +83,19 @@
 
 // Free records the release of a result and returns the endpoint that stored it, or false if the
 // result is not known.
-func (sch *Book) Free(handle string) (Maker, bool) {
+func (sch *Scheduler) Free(handle string) (Endpoint, bool) {
 	res, ok := sch.results[handle]
 	if !ok {
-		return Maker{}, false
+		return Endpoint{}, false
 	}
 	res.endpoint.heldBytes -= res.bytes
 	res.endpoint.fullUntil = 0
 	delete(sch.results, handle)
-	return res.endpoint.Maker, true
+	return res.endpoint.Endpoint, true
 }
 
-// Held returns the known bytes of results stored at an endpoint.
-func (sch *Book) Held(id string) int64 {
+// HeldBytes returns the known bytes of results stored at an endpoint.
+func (sch *Scheduler) HeldBytes(id string) int64 {
 	if ep, ok := sch.byID[id]; ok {
 		return ep.heldBytes
 	}
--- a/pkg/gather/lost_test.go
+++ b/pkg/gather/lost_test.go
@@ -12,12 +12,12 @@
 
 // lossy simulates a pool of many endpoints, of which most lose every third answer from from to to.
 // It returns the sorted latencies of the requests that arrive at least two seconds after to.
-func lossy(sch *Book, endpoints int, perSecond float64, from, to, end clock.Milli) []clock.Milli {
+func lossy(sch *Scheduler, endpoints int, perSecond float64, from, to, end clock.Milli) []clock.Milli {
 	rnd := rand.New(rand.NewPCG(3, 4))
 	losers := map[string]bool{}
-	var list []Maker
+	var list []Endpoint
 	for i := range endpoints {
-		ep := Maker{ID: string(rune('A' + i))}
+		ep := Endpoint{ID: string(rune('A' + i))}
 		losers[ep.ID] = i%5 < 3
 		list = append(list, ep)
 	}
@@ -35,7 +35,7 @@
 			job := int64(len(came))
 			came[job], missing[job] = now, 6
 			for i := range int64(6) {
-				sch.Add(Piece{ID: 6*job + i, Job: job, Due: now + 2000, Until: now + 20000})
+				sch.Add(Item{ID: 6*job + i, Job: job, Due: now + 2000, Expires: now + 20000})
 			}
 		}
 		for id, endg := range ends {
@@ -45,23 +45,23 @@
 			delete(ends, id)
 			if endg.lost {
 				sch.Ended(id, Failed, nil, now)
-				for _, itm := range calls[id].Pieces {
-					itm.Rest = true
+				for _, itm := range calls[id].Items {
+					itm.Begun = true
 					sch.Add(itm)
 				}
 				continue
 			}
-			sch.Ended(id, Made, nil, now)
-			for _, itm := range calls[id].Pieces {
+			sch.Ended(id, Answered, nil, now)
+			for _, itm := range calls[id].Items {
 				if missing[itm.Job]--; missing[itm.Job] == 0 && came[itm.Job] >= to+2*clock.Second {
 					took = append(took, now-came[itm.Job])
 				}
 			}
 		}
 		for bat, ok := sch.Next(now); ok; bat, ok = sch.Next(now) {
-			endg := ending{at: now + sch.spec.Time(len(bat.Pieces))}
-			if now >= from && now < to && losers[bat.Maker.ID] && rnd.IntN(3) == 0 {
-				endg = ending{at: now + bat.GiveUp, lost: true}
+			endg := ending{at: now + sch.spec.Time(len(bat.Items))}
+			if now >= from && now < to && losers[bat.Endpoint.ID] && rnd.IntN(3) == 0 {
+				endg = ending{at: now + bat.Timeout, lost: true}
 			}
 			calls[bat.ID], ends[bat.ID] = bat, endg
 		}
@@ -77,8 +77,8 @@
 func TestLostAnswersDoNotIdleEndpoints(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	play := func(from, to clock.Milli) []clock.Milli {
-		sch := &Book{}
-		sch.Set(Spec{Places: 1, Most: 16, Call: 200, Item: 11})
+		sch := &Scheduler{}
+		sch.Set(Spec{Slots: 1, MaxItems: 16, BatchMs: 200, ItemMs: 11})
 		return lossy(sch, 38, 120, from, to, 12*clock.Second)
 	}
 	calm, after := play(0, 0), play(2*clock.Second, 5*clock.Second)
--- a/pkg/gather/spacing.go
+++ b/pkg/gather/spacing.go
@@ -35,10 +35,10 @@
 	return max(spc.last+clock.Milli(spc.meanMs/rate)-now, 0)
 }
 
-// Space returns how long the next batch is held back, or zero. A full batch is not held back,
+// StartDelay returns how long the next batch is held back, or zero. A full batch is not held back,
 // because waiting would add no items to it.
-func (sch *Book) Space(now clock.Milli) clock.Milli {
-	if len(sch.waiting) >= sch.spec.Most {
+func (sch *Scheduler) StartDelay(now clock.Milli) clock.Milli {
+	if len(sch.waiting) >= sch.spec.MaxItems {
 		return 0
 	}
 	rate, _ := sch.effectiveSlots(now)
--- a/pkg/gather/spacing_test.go
+++ b/pkg/gather/spacing_test.go
@@ -22,17 +22,17 @@
 	add(sch, 2, 1, 9000)
 	_, ok = sch.Next(1010)
 	gom.Expect(ok).To(gomega.BeFalse())
-	gom.Expect(sch.Space(1010)).To(gomega.Equal(clock.Milli(110)))
+	gom.Expect(sch.StartDelay(1010)).To(gomega.Equal(clock.Milli(110)))
 	add(sch, 3, 3, 9000)
-	gom.Expect(sch.Space(1010)).To(gomega.BeZero())
+	gom.Expect(sch.StartDelay(1010)).To(gomega.BeZero())
 	bat, ok := sch.Next(1010)
 	gom.Expect(ok).To(gomega.BeTrue())
-	gom.Expect(bat.Pieces).To(gomega.HaveLen(4))
+	gom.Expect(bat.Items).To(gomega.HaveLen(4))
 }
 
 // load simulates random arrivals of requests of four items at five endpoints for a minute, and
 // returns the sorted latencies.
-func load(sch *Book, perSecond float64) []clock.Milli {
+func load(sch *Scheduler, perSecond float64) []clock.Milli {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	came := map[int64]clock.Milli{}
 	ends := map[int64]clock.Milli{}
@@ -44,21 +44,21 @@
 			job := int64(len(came))
 			came[job] = now
 			for i := range int64(4) {
-				sch.Add(Piece{ID: 4*job + i, Job: job, Due: now + 2000, Until: now + 20000})
+				sch.Add(Item{ID: 4*job + i, Job: job, Due: now + 2000, Expires: now + 20000})
 			}
 		}
 		for id, at := range ends {
 			if at > now {
 				continue
 			}
-			sch.Ended(id, Made, nil, now)
+			sch.Ended(id, Answered, nil, now)
 			delete(ends, id)
 			for _, job := range jobsIn(calls[id]) {
 				took = append(took, now-came[job])
 			}
 		}
 		for bat, ok := sch.Next(now); ok; bat, ok = sch.Next(now) {
-			calls[bat.ID], ends[bat.ID] = bat, now+sch.spec.Time(len(bat.Pieces))
+			calls[bat.ID], ends[bat.ID] = bat, now+sch.spec.Time(len(bat.Items))
 		}
 	}
 	slices.Sort(took)
@@ -72,7 +72,7 @@
 func TestBatchesDoNotBunch(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	sch := newScheduler(5)
-	sch.Set(Spec{Places: 1, Most: 34, Call: 240, Item: 6.1})
+	sch.Set(Spec{Slots: 1, MaxItems: 34, BatchMs: 240, ItemMs: 6.1})
 	took := load(sch, 48.4)
 	gom.Expect(len(took)).To(gomega.BeNumerically(">", 2700))
 	gom.Expect(took[len(took)*9/10]).To(gomega.BeNumerically("<", 510))
@@ -84,7 +84,7 @@
 func TestSpacingOnIdlePool(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	sch := newScheduler(5)
-	sch.Set(Spec{Places: 1, Most: 34, Call: 240, Item: 6.1})
+	sch.Set(Spec{Slots: 1, MaxItems: 34, BatchMs: 240, ItemMs: 6.1})
 	took := load(sch, 5)
 	gom.Expect(took[len(took)/2]).To(gomega.BeNumerically("<=", sch.spec.Time(4)+1))
 	gom.Expect(took[len(took)*9/10]).To(gomega.BeNumerically("<", sch.spec.Time(4)+50))
@@ -96,32 +96,32 @@
 func TestForeignResults(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	sch := newScheduler(1)
-	gom.Expect(sch.Told("m0", 500, 1000)).To(gomega.Equal(int64(500)))
-	gom.Expect(sch.Told("nobody", 500, 1000)).To(gomega.BeZero())
+	gom.Expect(sch.ReportFree("m0", 500, 1000)).To(gomega.Equal(int64(500)))
+	gom.Expect(sch.ReportFree("nobody", 500, 1000)).To(gomega.BeZero())
 	for i := range int64(4) {
-		sch.Add(Piece{ID: i, Job: i, Due: 9000, Until: 100000, Bytes: 250})
+		sch.Add(Item{ID: i, Job: i, Due: 9000, Expires: 100000, Bytes: 250})
 	}
 	bat, ok := sch.Next(1000)
 	gom.Expect(ok).To(gomega.BeTrue())
-	gom.Expect(bat.Pieces).To(gomega.HaveLen(2))
-	sch.Ended(bat.ID, Made, []Result{{Handle: "a", Bytes: 250}, {Handle: "b", Bytes: 250}}, 1240)
+	gom.Expect(bat.Items).To(gomega.HaveLen(2))
+	sch.Ended(bat.ID, Answered, []Result{{Handle: "a", Bytes: 250}, {Handle: "b", Bytes: 250}}, 1240)
 	_, ok = sch.Next(1300)
 	gom.Expect(ok).To(gomega.BeFalse(), "the result storage is full")
-	gom.Expect(sch.Told("m0", 0, 1350)).To(gomega.Equal(int64(500)), "the report is older than own results")
-	gom.Expect(sch.Told("m0", 250, 1400)).To(gomega.Equal(int64(250)), "a foreign result was released")
+	gom.Expect(sch.ReportFree("m0", 0, 1350)).To(gomega.Equal(int64(500)), "the report is older than own results")
+	gom.Expect(sch.ReportFree("m0", 250, 1400)).To(gomega.Equal(int64(250)), "a foreign result was released")
 	bat, ok = sch.Next(1400)
 	gom.Expect(ok).To(gomega.BeTrue())
-	gom.Expect(bat.Pieces).To(gomega.HaveLen(1))
-	sch.Ended(bat.ID, Made, []Result{{Handle: "c", Bytes: 250}}, 1620)
+	gom.Expect(bat.Items).To(gomega.HaveLen(1))
+	sch.Ended(bat.ID, Answered, []Result{{Handle: "c", Bytes: 250}}, 1620)
 	sch.Free("a")
 	sch.Free("b")
 	sch.Free("c")
 	for i := range int64(4) {
-		sch.Add(Piece{ID: 10 + i, Job: 10 + i, Due: 99000, Until: 100000, Bytes: 250})
+		sch.Add(Item{ID: 10 + i, Job: 10 + i, Due: 99000, Expires: 100000, Bytes: 250})
 	}
 	bat, ok = sch.Next(1000 + 4000)
 	gom.Expect(ok).To(gomega.BeTrue())
-	gom.Expect(bat.Pieces).To(gomega.HaveLen(4))
+	gom.Expect(bat.Items).To(gomega.HaveLen(4))
 }
 
 // TestRefusalsRevealForeignResults: unknown results occupy half of an endpoint's storage, and it
@@ -132,23 +132,23 @@
 	sch := newScheduler(1)
 	sch.Begin(900)
 	for i := range int64(9) {
-		sch.Add(Piece{ID: i, Job: i, Due: 9000, Until: 100000, Bytes: 250})
+		sch.Add(Item{ID: i, Job: i, Due: 9000, Expires: 100000, Bytes: 250})
 	}
 	bat, _ := sch.Next(1000)
-	gom.Expect(bat.Pieces).To(gomega.HaveLen(4))
-	sch.Ended(bat.ID, Made, []Result{{Handle: "a", Bytes: 250}, {Handle: "b", Bytes: 250}}, 1280)
-	sch.Full("m0", 1280)
+	gom.Expect(bat.Items).To(gomega.HaveLen(4))
+	sch.Ended(bat.ID, Answered, []Result{{Handle: "a", Bytes: 250}, {Handle: "b", Bytes: 250}}, 1280)
+	sch.MarkFull("m0", 1280)
 	_, ok := sch.Next(1280 + fullRetryDelay)
 	gom.Expect(ok).To(gomega.BeFalse())
 	sch.Free("a")
 	bat, ok = sch.Next(1400)
 	gom.Expect(ok).To(gomega.BeTrue())
-	gom.Expect(bat.Pieces).To(gomega.HaveLen(1))
-	sch.Ended(bat.ID, Made, []Result{{Handle: "c", Bytes: 250}}, 1620)
+	gom.Expect(bat.Items).To(gomega.HaveLen(1))
+	sch.Ended(bat.ID, Answered, []Result{{Handle: "c", Bytes: 250}}, 1620)
 	bat, ok = sch.Next(1280 + foreignTTL)
 	gom.Expect(ok).To(gomega.BeTrue())
-	gom.Expect(bat.Pieces).To(gomega.HaveLen(2))
-	sch.Ended(bat.ID, Made, []Result{{Handle: "d", Bytes: 250}}, 900+4000)
-	sch.Full("m0", 900+4000)
+	gom.Expect(bat.Items).To(gomega.HaveLen(2))
+	sch.Ended(bat.ID, Answered, []Result{{Handle: "d", Bytes: 250}}, 900+4000)
+	sch.MarkFull("m0", 900+4000)
 	gom.Expect(sch.endpoints[0].foreignBytes).To(gomega.BeZero(), "earlier results have expired")
 }
--- a/pkg/rumor/doc.go
+++ b/pkg/gossip/doc.go
@@ -1,4 +1,4 @@
-// Package rumor replicates short-lived facts to all instances by gossip.
+// Package gossip replicates short-lived facts to all instances by gossip.
 //
 // A [Table] is a set of registers, each identified by its kind and key. An instance that changes
 // a fact increments its version. The higher version wins, and of two values of the same version
@@ -14,4 +14,4 @@
 // (rumor mongering). It also compares [Table.Digest] with that of its peers from time to time and
 // exchanges facts if they differ (anti-entropy; A. Demers et al., "Epidemic algorithms for
 // replicated database maintenance", PODC 1987).
-package rumor
+package gossip
--- a/pkg/rumor/rumor.go
+++ b/pkg/gossip/gossip.go
@@ -1,4 +1,4 @@
-package rumor
+package gossip
 
 import (
 	"cmp"
@@ -36,11 +36,11 @@
 
 // Bounds limit the facts of one kind.
 type Bounds struct {
-	// Keep is the retention of a fact, counted from its origin.
-	Keep clock.Milli
-	// Most is the maximum number of facts. Beyond it the fact of the lowest weight is
+	// Retention is the retention of a fact, counted from its origin.
+	Retention clock.Milli
+	// MaxFacts is the maximum number of facts. Beyond it the fact of the lowest weight is
 	// evicted, the oldest of these first.
-	Most int
+	MaxFacts int
 	// Weight returns the weight of a fact; nil if all weigh the same.
 	Weight func(key string) int
 }
@@ -80,14 +80,14 @@
 	if old, ok := tbl.facts[factID{kind, key}]; ok && old.value == value {
 		return Fact{}, false
 	}
-	fct := tbl.Renew(kind, key, value, now)
+	fct := tbl.Refresh(kind, key, value, now)
 	_, _, ok := tbl.Get(kind, key)
 	return fct, ok
 }
 
-// Renew records a fact that originates here, even if the table already has this value, and
+// Refresh records a fact that originates here, even if the table already has this value, and
 // returns it for dissemination. Its age counts from now.
-func (tbl *Table) Renew(kind Kind, key, value string, now clock.Milli) Fact {
+func (tbl *Table) Refresh(kind Kind, key, value string, now clock.Milli) Fact {
 	fct := Fact{Kind: kind, Key: key, Value: value, Version: tbl.facts[factID{kind, key}].version + 1}
 	tbl.Learn([]Fact{fct}, now)
 	return fct
@@ -107,7 +107,7 @@
 // merge merges one fact and reports whether it changed the table.
 func (tbl *Table) merge(fct Fact, now clock.Milli) bool {
 	bnd, ok := tbl.bounds[fct.Kind]
-	if !ok || fct.Age < 0 || fct.Age >= bnd.Keep {
+	if !ok || fct.Age < 0 || fct.Age >= bnd.Retention {
 		return false
 	}
 	fid := factID{fct.Kind, fct.Key}
@@ -117,7 +117,7 @@
 	}
 	if known {
 		tbl.drop(fid)
-	} else if tbl.counts[fct.Kind] >= bnd.Most && !tbl.evict(fct, bnd, now) {
+	} else if tbl.counts[fct.Kind] >= bnd.MaxFacts && !tbl.evict(fct, bnd, now) {
 		return false
 	}
 	tbl.facts[fid] = entry{value: fct.Value, version: fct.Version, at: now - fct.Age}
@@ -163,7 +163,7 @@
 func (tbl *Table) Expire(now clock.Milli) bool {
 	expired := false
 	for fid, ent := range tbl.facts {
-		if now-ent.at >= tbl.bounds[fid.kind].Keep {
+		if now-ent.at >= tbl.bounds[fid.kind].Retention {
 			tbl.drop(fid)
 			expired = true
 		}
--- a/pkg/rumor/rumor_test.go
+++ b/pkg/gossip/gossip_test.go
@@ -1,4 +1,4 @@
-package rumor
+package gossip
 
 import (
 	"fmt"
@@ -13,14 +13,14 @@
 
 func newTable(most int) *Table {
 	tbl := &Table{}
-	tbl.Bound(EndedUnder, Bounds{Keep: clock.Minute, Most: most})
+	tbl.Bound(EndedUnder, Bounds{Retention: clock.Minute, MaxFacts: most})
 	return tbl
 }
 
 func Example() {
 	var one, two Table
 	for _, tbl := range []*Table{&one, &two} {
-		tbl.Bound(EndedUnder, Bounds{Keep: clock.Minute, Most: 10})
+		tbl.Bound(EndedUnder, Bounds{Retention: clock.Minute, MaxFacts: 10})
 	}
 	one.Set(EndedUnder, "request", "set by one", 0)
 	fmt.Println(one.Digest() == two.Digest())
@@ -78,7 +78,7 @@
 func TestEvictionFollowsWeight(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	tbl := &Table{}
-	tbl.Bound(EndedUnder, Bounds{Keep: clock.Minute, Most: 4, Weight: func(key string) int {
+	tbl.Bound(EndedUnder, Bounds{Retention: clock.Minute, MaxFacts: 4, Weight: func(key string) int {
 		if slices.Contains([]string{"heavy", "other"}, key) {
 			return 1
 		}
--- a/pkg/rumor/spread.go
+++ b/pkg/gossip/spread.go
@@ -1,4 +1,4 @@
-package rumor
+package gossip
 
 import "amaranthvalve/pkg/clock"
 
@@ -16,12 +16,12 @@
 	pending []Fact
 }
 
-// Learned queues facts that originate at this instance and are already in its table.
-func (spr *Spread) Learned(fresh ...Fact) { spr.pending = append(spr.pending, fresh...) }
+// Enqueue queues facts that originate at this instance and are already in its table.
+func (spr *Spread) Enqueue(fresh ...Fact) { spr.pending = append(spr.pending, fresh...) }
 
-// Told merges the facts of a message and reports whether any of them changed the table. With mesh
+// Receive merges the facts of a message and reports whether any of them changed the table. With mesh
 // set the originator sends to all instances itself, and the facts are not forwarded.
-func (spr *Spread) Told(list []Fact, mesh bool, now clock.Milli) bool {
+func (spr *Spread) Receive(list []Fact, mesh bool, now clock.Milli) bool {
 	fresh := spr.Learn(list, now)
 	if !mesh {
 		spr.pending = append(spr.pending, fresh...)
@@ -29,9 +29,9 @@
 	return len(fresh) > 0
 }
 
-// Missing returns facts for an instance whose table has the given digest; none if the digests
+// Delta returns facts for an instance whose table has the given digest; none if the digests
 // are equal.
-func (spr *Spread) Missing(digest uint64, now clock.Milli) []Fact {
+func (spr *Spread) Delta(digest uint64, now clock.Milli) []Fact {
 	if digest == spr.Digest() {
 		return nil
 	}
--- a/pkg/rumor/spread_test.go
+++ b/pkg/gossip/spread_test.go
@@ -1,4 +1,4 @@
-package rumor_test
+package gossip_test
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 
 	"amaranthvalve/internal/fleet"
 	"amaranthvalve/pkg/clock"
+	"amaranthvalve/pkg/gossip"
 	"amaranthvalve/pkg/member"
-	"amaranthvalve/pkg/rumor"
 )
 
 // replicas is a fleet whose instances replicate facts.
@@ -17,15 +17,15 @@
 
 func newReplicas(count int, lost float64, seed uint64) replicas {
 	return replicas{fleet.New(fleet.Setup{Count: count, Lost: lost, Seed: seed, Begin: func(ins *fleet.Instance) {
-		ins.Spread().Bound(rumor.EndedUnder, rumor.Bounds{Keep: clock.Hour, Most: 1000})
+		ins.Spread().Bound(gossip.EndedUnder, gossip.Bounds{Retention: clock.Hour, MaxFacts: 1000})
 	}})}
 }
 
 // originate originates a fact at an instance.
 func (rep replicas) originate(i int, key string) {
 	spread := rep.Instances()[i].Spread()
-	if fct, ok := spread.Set(rumor.EndedUnder, key, "x", rep.Now()); ok {
-		spread.Learned(fct)
+	if fct, ok := spread.Set(gossip.EndedUnder, key, "x", rep.Now()); ok {
+		spread.Enqueue(fct)
 	}
 }
 
--- a/pkg/graph/graph.go
+++ b/pkg/graph/graph.go
@@ -71,9 +71,9 @@
 	return last
 }
 
-// Ways returns for each stage the time of the longest path from its start to the final call; span
+// PathTimes returns for each stage the time of the longest path from its start to the final call; span
 // gives the time of one stage.
-func (gr Graph) Ways(span func(stg int) clock.Milli) []clock.Milli {
+func (gr Graph) PathTimes(span func(stg int) clock.Milli) []clock.Milli {
 	times := make([]clock.Milli, len(gr.after))
 	for _, stg := range slices.Backward(gr.topo) {
 		for _, nxt := range gr.consumers[stg] {
@@ -89,5 +89,5 @@
 	if len(gr.after) == 0 {
 		return 0
 	}
-	return slices.Max(gr.Ways(span))
+	return slices.Max(gr.PathTimes(span))
 }
--- a/pkg/graph/graph_test.go
+++ b/pkg/graph/graph_test.go
@@ -24,7 +24,7 @@
 	gr, _ := New([][]int{{}, {0}})
 	run := gr.Run(func(int) bool { return false })
 	span := func(int) clock.Milli { return 200 }
-	fmt.Println(run.Begin(span), run.Done(0), run.Begin(span), run.Done(1), run.Over())
+	fmt.Println(run.Start(span), run.Done(0), run.Start(span), run.Done(1), run.Over())
 	// Output: [0] [] [1] [0] true
 }
 
@@ -49,17 +49,17 @@
 	gom := gomega.NewWithT(t)
 	even := func(int) clock.Milli { return 300 }
 	run := chat(t).Run(none)
-	gom.Expect(run.Begin(even)).To(gomega.Equal([]int{1}))
+	gom.Expect(run.Start(even)).To(gomega.Equal([]int{1}))
 	run.Done(1)
-	gom.Expect(run.Begin(even)).To(gomega.Equal([]int{2}), "stage 3 takes as long and starts later")
+	gom.Expect(run.Start(even)).To(gomega.Equal([]int{2}), "stage 3 takes as long and starts later")
 	gom.Expect(run.Done(2)).To(gomega.Equal([]int{1}))
-	gom.Expect(run.Begin(even)).To(gomega.Equal([]int{0, 3}))
+	gom.Expect(run.Start(even)).To(gomega.Equal([]int{0, 3}))
 
 	crowded := func(stg int) clock.Milli { return []clock.Milli{500, 300, 300, 300}[stg] }
 	run = chat(t).Run(none)
-	gom.Expect(run.Begin(crowded)).To(gomega.Equal([]int{1}))
+	gom.Expect(run.Start(crowded)).To(gomega.Equal([]int{1}))
 	run.Done(1)
-	gom.Expect(run.Begin(crowded)).To(gomega.Equal([]int{0, 2}), "started beside stage 3 it would be late")
+	gom.Expect(run.Start(crowded)).To(gomega.Equal([]int{0, 2}), "started beside stage 3 it would be late")
 }
 
 // TestStagesWaitOnlyForInputs: a stage starts when its inputs are complete, even if a stage started
@@ -70,16 +70,16 @@
 	gom.Expect(err).NotTo(gomega.HaveOccurred())
 	span := func(int) clock.Milli { return 100 }
 	run := gr.Run(none)
-	gom.Expect(run.Begin(span)).To(gomega.Equal([]int{0, 1}))
+	gom.Expect(run.Start(span)).To(gomega.Equal([]int{0, 1}))
 	run.Done(1)
-	gom.Expect(run.Begin(span)).To(gomega.Equal([]int{3}))
+	gom.Expect(run.Start(span)).To(gomega.Equal([]int{3}))
 }
 
 // TestSkippedStage: a skipped stage does not block the stages that take its results.
 func TestSkippedStage(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	run := chat(t).Run(func(stg int) bool { return stg == 1 })
-	gom.Expect(run.Begin(func(int) clock.Milli { return 100 })).To(gomega.Equal([]int{2}))
+	gom.Expect(run.Start(func(int) clock.Milli { return 100 })).To(gomega.Equal([]int{2}))
 }
 
 // TestRunsFinish draws graphs, times and the order in which stages are done. Each stage starts once
@@ -108,7 +108,7 @@
 		over, given := map[int]bool{}, map[int]bool{}
 		var under []int
 		for !run.Over() {
-			for _, stg := range run.Begin(func(int) clock.Milli { return clock.Milli(rapid.IntRange(0, 500).Draw(t, "span")) }) {
+			for _, stg := range run.Start(func(int) clock.Milli { return clock.Milli(rapid.IntRange(0, 500).Draw(t, "span")) }) {
 				for _, pre := range after[stg] {
 					if !over[pre] && !skipped[pre] {
 						t.Fatalf("stage %d started before stage %d was done", stg, pre)
@@ -145,24 +145,24 @@
 	begun := func() *Run {
 		run := chat(t).Run(func(stg int) bool { return stg == 0 })
 		for _, stg := range []int{1, 2} {
-			gom.Expect(run.Begin(even)).To(gomega.Equal([]int{stg}))
+			gom.Expect(run.Start(even)).To(gomega.Equal([]int{stg}))
 			run.Done(stg)
 		}
-		gom.Expect(run.Begin(even)).To(gomega.Equal([]int{3}))
+		gom.Expect(run.Start(even)).To(gomega.Equal([]int{3}))
 		return run
 	}
 	run := begun()
-	gom.Expect(run.Undo(3, none)).To(gomega.Equal([]int{2, 1}))
+	gom.Expect(run.Reset(3, none)).To(gomega.Equal([]int{2, 1}))
 	for _, stg := range []int{1, 2, 3} {
-		gom.Expect(run.Begin(even)).To(gomega.Equal([]int{stg}))
+		gom.Expect(run.Start(even)).To(gomega.Equal([]int{stg}))
 		run.Done(stg)
 	}
 	gom.Expect(run.Over()).To(gomega.BeTrue())
 
 	run = begun()
 	held := func(stg int) bool { return stg == 1 }
-	gom.Expect(run.Undo(3, held)).To(gomega.Equal([]int{2}))
-	gom.Expect(run.Begin(even)).To(gomega.Equal([]int{2}))
+	gom.Expect(run.Reset(3, held)).To(gomega.Equal([]int{2}))
+	gom.Expect(run.Start(even)).To(gomega.Equal([]int{2}))
 }
 
 // TestLastConsumer: two stages take the results of one. Only the second of them to be done is the
@@ -173,10 +173,10 @@
 	gom.Expect(err).NotTo(gomega.HaveOccurred())
 	span := func(int) clock.Milli { return 100 }
 	run := gr.Run(none)
-	run.Begin(span)
+	run.Start(span)
 	run.Done(0)
-	gom.Expect(run.Begin(span)).To(gomega.Equal([]int{1, 2}))
-	gom.Expect(run.Last(1)).To(gomega.BeEmpty())
+	gom.Expect(run.Start(span)).To(gomega.Equal([]int{1, 2}))
+	gom.Expect(run.LastInputs(1)).To(gomega.BeEmpty())
 	run.Done(1)
-	gom.Expect(run.Last(2)).To(gomega.Equal([]int{0}))
+	gom.Expect(run.LastInputs(2)).To(gomega.Equal([]int{0}))
 }
--- a/pkg/graph/run.go
+++ b/pkg/graph/run.go
@@ -41,17 +41,17 @@
 	return !slices.ContainsFunc(run.states, func(st state) bool { return st != done })
 }
 
-// Begin returns the stages to start now and marks them as running; span estimates the time of a
+// Start returns the stages to start now and marks them as running; span estimates the time of a
 // stage started now, including its wait. It returns at least one stage unless the run is finished
 // or a stage is running.
-func (run *Run) Begin(span func(stg int) clock.Milli) []int {
+func (run *Run) Start(span func(stg int) clock.Milli) []int {
 	var ready []int
 	for stg, st := range run.states {
 		if st == pending && run.allDone(run.gr.after[stg]) {
 			ready = append(ready, stg)
 		}
 	}
-	times := run.gr.Ways(func(stg int) clock.Milli {
+	times := run.gr.PathTimes(func(stg int) clock.Milli {
 		if run.states[stg] == done {
 			return 0
 		}
@@ -92,17 +92,17 @@
 	return unused
 }
 
-// Last returns the stages whose results only this stage still has to take.
-func (run *Run) Last(stg int) []int {
+// LastInputs returns the stages whose results only this stage still has to take.
+func (run *Run) LastInputs(stg int) []int {
 	return slices.DeleteFunc(slices.Clone(run.gr.after[stg]), func(pre int) bool {
 		return slices.ContainsFunc(run.gr.consumers[pre], func(oth int) bool { return oth != stg && run.states[oth] != done })
 	})
 }
 
-// Undo resets a running stage whose inputs were lost, and the stages that must run again for it:
+// Reset resets a running stage whose inputs were lost, and the stages that must run again for it:
 // those it takes results of and, recursively, their inputs unless held reports their results as
 // still stored. It returns the stages that were done and no longer are.
-func (run *Run) Undo(stg int, held func(stg int) bool) []int {
+func (run *Run) Reset(stg int, held func(stg int) bool) []int {
 	run.states[stg] = pending
 	var lost []int
 	for _, pre := range run.gr.after[stg] {
--- a/pkg/limit/limit.go
+++ b/pkg/limit/limit.go
@@ -101,7 +101,7 @@
 
 // NewWorkspace returns limits of perSecond requests a second with a burst, and at
 // most maxInFlight requests in flight. Each instance gets its share of the document's
-// rate, see [Part].
+// rate, see [Share].
 func NewWorkspace(perSecond float64, burst, maxInFlight int) *Workspace {
 	return &Workspace{bucket: rate.NewLimiter(rate.Limit(perSecond), burst), maxInFlight: maxInFlight}
 }
--- a/pkg/limit/limit_test.go
+++ b/pkg/limit/limit_test.go
@@ -82,7 +82,7 @@
 	// 3
 }
 
-func ExamplePart() {
-	fmt.Printf("%.0f\n", Part(100, 9, []float64{0, 0}))
+func ExampleShare() {
+	fmt.Printf("%.0f\n", Share(100, 9, []float64{0, 0}))
 	// Output: 83
 }
--- a/pkg/limit/rates.go
+++ b/pkg/limit/rates.go
@@ -14,11 +14,11 @@
 	takeoverShare  = 0.5
 )
 
-// KeptShare returns the share of the endpoints' rates that their coordinator may use. silent is
+// CoordinatorShare returns the share of the endpoints' rates that their coordinator may use. silent is
 // the number of unresponsive instances that come before this one as coordinators, term the time
 // since this one took over. One unresponsive instance may still be coordinating for others; if
 // there are two, it is more likely that this instance is partitioned.
-func KeptShare(silent int, term clock.Milli) float64 {
+func CoordinatorShare(silent int, term clock.Milli) float64 {
 	switch {
 	case silent > 1:
 		return 0
@@ -74,8 +74,8 @@
 	return clock.Milli(sch.next-float64(now)) + 1
 }
 
-// Each returns the interval between requests to an endpoint; zero if it has no rate.
-func (rts *Rates) Each(id string) clock.Milli {
+// Interval returns the interval between requests to an endpoint; zero if it has no rate.
+func (rts *Rates) Interval(id string) clock.Milli {
 	if sch, ok := rts.byID[id]; ok {
 		return clock.Milli(sch.each) + 1
 	}
--- a/pkg/limit/size_test.go
+++ b/pkg/limit/size_test.go
@@ -8,9 +8,9 @@
 
 	"amaranthvalve/internal/fleet"
 	"amaranthvalve/pkg/clock"
+	"amaranthvalve/pkg/gossip"
 	"amaranthvalve/pkg/ident"
 	"amaranthvalve/pkg/limit"
-	"amaranthvalve/pkg/rumor"
 )
 
 const (
@@ -52,7 +52,7 @@
 func newSenders(count int, rate float64, within clock.Milli) *senders {
 	sds := &senders{rate: rate, within: within, of: map[*fleet.Instance]*sender{}}
 	sds.Fleet = fleet.New(fleet.Setup{Count: count, Lost: 0.02, Seed: uint64(count), Begin: func(ins *fleet.Instance) {
-		ins.Spread().Bound(rumor.NamedRate, rumor.Bounds{Keep: clock.Hour, Most: 100})
+		ins.Spread().Bound(gossip.NamedRate, gossip.Bounds{Retention: clock.Hour, MaxFacts: 100})
 		sds.of[ins] = &sender{Instance: ins, unresponsive: map[ident.Incarnation]clock.Milli{}}
 	}})
 	return sds
@@ -81,7 +81,7 @@
 	if coordinates := who == sdr.Who(); coordinates != sdr.coordinates {
 		sdr.coordinates, sdr.term = coordinates, sds.Now()
 	}
-	share := limit.KeptShare(silent, sds.Now()-sdr.term)
+	share := limit.CoordinatorShare(silent, sds.Now()-sdr.term)
 	if !sdr.coordinates || share == 0 {
 		return false
 	}
@@ -96,7 +96,7 @@
 // ask sends a request from an instance if the rate allows it. An instance that doesn't know of a
 // rate sends without a permit.
 func (sds *senders) ask(sdr *sender) {
-	if _, _, knows := sdr.Spread().Get(rumor.NamedRate, endpoint); knows {
+	if _, _, knows := sdr.Spread().Get(gossip.NamedRate, endpoint); knows {
 		who, _ := sds.coordinator(sdr)
 		oth := sds.Find(who)
 		if who != sdr.Who() && !sds.Reaches(sdr.Instance, oth) {
@@ -112,8 +112,8 @@
 	if sdr.learned == 0 {
 		sdr.learned = sds.Now()
 	}
-	if fct, ok := sdr.Spread().Set(rumor.NamedRate, endpoint, fmt.Sprint(sds.rate), sds.Now()); ok {
-		sdr.Spread().Learned(fct)
+	if fct, ok := sdr.Spread().Set(gossip.NamedRate, endpoint, fmt.Sprint(sds.rate), sds.Now()); ok {
+		sdr.Spread().Enqueue(fct)
 	}
 }
 
--- a/pkg/place/bench_test.go
+++ b/pkg/place/bench_test.go
@@ -13,7 +13,7 @@
 			for i := range 4 * n {
 				plc.Begin(fmt.Sprintf("e%d", i%n), fmt.Sprint(i), prompt(fmt.Sprint(i%200)), 200, 0)
 			}
-			ask := Ask{Prompt: prompt("7"), Gap: 200}
+			ask := Ask{Prompt: prompt("7"), MaxGap: 200}
 			b.ReportAllocs()
 			for b.Loop() {
 				plc.Pick(ask, 1000)
--- a/pkg/place/doc.go
+++ b/pkg/place/doc.go
@@ -16,9 +16,9 @@
 // # The choice
 //
 // One instance places the prompts of a pool for all instances, as one schedules the batches of a
-// pool; each instance by itself would know only its own requests. A [Book] is the state of this
+// pool; each instance by itself would know only its own requests. A [Placer] is the state of this
 // placer: for each engine what it has still to read, its streams, its cached parts, its slowness
-// and its recent failures. [Book.Pick] returns the engine of least cost in milliseconds: the time
+// and its recent failures. [Placer.Pick] returns the engine of least cost in milliseconds: the time
 // to the first event, the delay of the streams there, the loss of the streams that would be late,
 // the parts that would be read again though another engine has them cached, and the results that
 // would be fetched from another data centre. Idle engines are spared a little, for long prompts.
--- a/pkg/place/load_test.go
+++ b/pkg/place/load_test.go
@@ -62,12 +62,12 @@
 func (flt *fleet) page() Prompt {
 	doc := flt.rnd.IntN(175)
 	own := int(min(2480*math.Exp(1.4*flt.rnd.NormFloat64()), 54000)) + 10
-	return Prompt{Parts: []Part{{ID: "form", Tokens: 512}, {ID: fmt.Sprint("doc", doc), Tokens: 4870}, {ID: "own", Tokens: own}}, In: 5382 + own, Out: 1100}
+	return Prompt{Parts: []Part{{ID: "form", Tokens: 512}, {ID: fmt.Sprint("doc", doc), Tokens: 4870}, {ID: "own", Tokens: own}}, InTokens: 5382 + own, MaxOutTokens: 1100}
 }
 
 func (flt *fleet) question() Prompt {
 	own := 400 + flt.rnd.IntN(500)
-	return Prompt{Parts: []Part{{ID: fmt.Sprint("desk", flt.rnd.IntN(20)), Tokens: 200}, {ID: "own", Tokens: own}}, In: 200 + own, Out: 950}
+	return Prompt{Parts: []Part{{ID: fmt.Sprint("desk", flt.rnd.IntN(20)), Tokens: 200}, {ID: "own", Tokens: own}}, InTokens: 200 + own, MaxOutTokens: 950}
 }
 
 // sent is a request in progress.
@@ -104,7 +104,7 @@
 		n++
 		ticket := fmt.Sprint(n)
 		under[ticket] = sent{at: now, page: isPage}
-		req := model.Request{ID: ticket, In: prm.In, Out: out}
+		req := model.Request{ID: ticket, In: prm.InTokens, Out: out}
 		for _, prt := range prm.shared() {
 			req.Parts, req.Sizes = append(req.Parts, prt.ID), append(req.Sizes, prt.Tokens)
 		}
@@ -132,11 +132,11 @@
 	placed := newFleet()
 	plc := newPlacer(18)
 	placed.play(func(ticket string, prm Prompt, now clock.Milli) int {
-		return index(pick(plc, ticket, Ask{Prompt: prm, Gap: gapAim}, now))
+		return index(pick(plc, ticket, Ask{Prompt: prm, MaxGap: gapAim}, now))
 	}, func(ticket string, ans model.Answer, took float64) {
 		plc.First(ticket, clock.Milli(took), clock.Milli(ans.First))
 	}, func(ticket string, ans model.Answer, _ float64) {
-		plc.End(ticket, Well, clock.Milli(ans.Pause), clock.Milli(ans.End))
+		plc.End(ticket, Succeeded, clock.Milli(ans.Pause), clock.Milli(ans.End))
 	})
 	t.Logf("by hash: pages %+v, questions %+v; placed: pages %+v, questions %+v", byHash.pages, byHash.short, placed.pages, placed.short)
 	gom.Expect(share(byHash.pages.paused, byHash.pages)).To(gomega.BeNumerically(">", 0.04))
@@ -147,7 +147,7 @@
 	gom.Expect(share(placed.short.firsts, placed.short)).To(gomega.BeNumerically("<", 0.005))
 }
 
-func index(seat Seat) int {
+func index(seat Placement) int {
 	var at int
 	_, _ = fmt.Sscanf(seat.Engine.ID, "e%d", &at)
 	return at
--- a/pkg/place/pick.go
+++ b/pkg/place/pick.go
@@ -54,22 +54,22 @@
 	// Zone is the data centre that holds results which the engine will fetch, and Bytes their size.
 	Zone  string `cbor:"4,keyasint,omitempty"`
 	Bytes int64  `cbor:"5,keyasint,omitempty"`
-	// Gap is the maximum gap between events, zero for no bound.
-	Gap clock.Milli `cbor:"6,keyasint,omitempty"`
+	// MaxGap is the maximum gap between events, zero for no bound.
+	MaxGap clock.Milli `cbor:"6,keyasint,omitempty"`
 }
 
-// Seat is the placement of a prompt.
-type Seat struct {
+// Placement is the placement of a prompt.
+type Placement struct {
 	Engine Engine
-	// From is the address of another engine from which cached parts of the prompt may be fetched;
+	// FetchAddr is the address of another engine from which cached parts of the prompt may be fetched;
 	// empty if there is none.
-	From string
+	FetchAddr string
 	// Inputs of the choice: the time until the engine starts to read the prompt, the time to read
 	// it, the requests at the engine, and the prompt's tokens that it has cached.
-	Wait    clock.Milli
-	Read    clock.Milli
-	Streams int
-	Held    int
+	Wait         clock.Milli
+	Read         clock.Milli
+	Streams      int
+	CachedTokens int
 }
 
 // evaluation is an [Ask] with the values derived from it that are common to all engines.
@@ -89,12 +89,12 @@
 }
 
 // Pick chooses an engine for a prompt; it returns false if there is none. It does not reserve a
-// slot: see [Book.Begin].
-func (plc *Book) Pick(ask Ask, now clock.Milli) (Seat, bool) {
+// slot: see [Placer.Begin].
+func (plc *Placer) Pick(ask Ask, now clock.Milli) (Placement, bool) {
 	plc.expire(now)
 	open := plc.available(ask.Avoid, now)
 	if len(open) == 0 {
-		return Seat{}, false
+		return Placement{}, false
 	}
 	evl := plc.evaluate(ask, open, now)
 	best, least := open[0], math.Inf(1)
@@ -106,14 +106,14 @@
 	return plc.placement(best, evl), true
 }
 
-func (plc *Book) placement(eng *engine, evl evaluation) Seat {
+func (plc *Placer) placement(eng *engine, evl evaluation) Placement {
 	cached := evl.cachedBy(eng)
-	plm := Seat{
-		Engine: eng.Engine, Wait: clock.Milli(eng.queueTime(evl.now)), Read: clock.Milli(plc.readTime(eng, evl.Prompt.In-cached, evl.now)),
-		Streams: int(eng.streams(evl.now)), Held: cached,
+	plm := Placement{
+		Engine: eng.Engine, Wait: clock.Milli(eng.queueTime(evl.now)), Read: clock.Milli(plc.readTime(eng, evl.Prompt.InTokens-cached, evl.now)),
+		Streams: int(eng.streams(evl.now)), CachedTokens: cached,
 	}
 	if eng.Fetches && evl.cachedAt != nil && evl.cachedAt != eng && evl.mostCached >= cached+minFetchTokens {
-		plm.From = evl.cachedAt.Addr
+		plm.FetchAddr = evl.cachedAt.Addr
 	}
 	return plm
 }
@@ -121,10 +121,10 @@
 // evaluate derives the values common to all engines. If no engine is known to have a part of the
 // prompt cached, the preferred one is assumed to have the prefix: a previous placer may have sent
 // it there.
-func (plc *Book) evaluate(ask Ask, open []*engine, now clock.Milli) evaluation {
+func (plc *Placer) evaluate(ask Ask, open []*engine, now clock.Milli) evaluation {
 	evl := evaluation{
 		Ask: ask, now: now,
-		msPerToken: plc.firstEvent.slope(defaultMsPerToken), streamMs: float64(ask.Prompt.Out) * plc.msPerOutToken(),
+		msPerToken: plc.firstEvent.slope(defaultMsPerToken), streamMs: float64(ask.Prompt.MaxOutTokens) * plc.msPerOutToken(),
 	}
 	name := ask.Prompt.Key()
 	if name == "" {
@@ -155,12 +155,12 @@
 
 // cost returns the cost of a prompt at an engine. Ties go to the preferred engine, so that prompts
 // without shared parts are spread.
-func (plc *Book) cost(eng *engine, evl evaluation) float64 {
+func (plc *Placer) cost(eng *engine, evl evaluation) float64 {
 	cached := evl.cachedBy(eng)
-	read := plc.readTime(eng, evl.Prompt.In-cached, evl.now)
+	read := plc.readTime(eng, evl.Prompt.InTokens-cached, evl.now)
 	streams := eng.streams(evl.now)
 	cost := eng.queueTime(evl.now) + read + streamDelayFactor*read*streams
-	if plc.disrupts(eng, evl.Prompt, evl.Gap, evl.now) {
+	if plc.disrupts(eng, evl.Prompt, evl.MaxGap, evl.now) {
 		cost += pauseCost * plc.relativeSizeAt(eng, evl.now)
 	} else {
 		cost += pauseCost * plc.relativeSize(evl.Prompt) * min(disruptionFactor*eng.disruptions.expect(evl.streamMs, evl.now), 1)
@@ -182,25 +182,25 @@
 
 // disrupts reports whether streams of an engine would exceed the maximum gap while it reads a
 // prompt, by the measured pauses.
-func (plc *Book) disrupts(eng *engine, prm Prompt, gap, now clock.Milli) bool {
-	return gap > 0 && plc.pauses.at(prm.In, 0)*eng.slow.current(now) > pauseMargin*float64(gap)
+func (plc *Placer) disrupts(eng *engine, prm Prompt, gap, now clock.Milli) bool {
+	return gap > 0 && plc.pauses.at(prm.InTokens, 0)*eng.slow.current(now) > pauseMargin*float64(gap)
 }
 
 // readTime returns the time in which an engine reads so many tokens.
-func (plc *Book) readTime(eng *engine, tokens int, now clock.Milli) float64 {
+func (plc *Placer) readTime(eng *engine, tokens int, now clock.Milli) float64 {
 	return eng.slow.current(now) * plc.firstEvent.at(tokens, defaultFixedMs+defaultMsPerToken*float64(tokens))
 }
 
 // available returns the engines to choose from: healthy ones with a free slot, or else healthy
 // ones, or else all that are not leaving.
-func (plc *Book) available(avoid []string, now clock.Milli) []*engine {
+func (plc *Placer) available(avoid []string, now clock.Milli) []*engine {
 	var free, full, ejected []*engine
 	for _, eng := range plc.list {
 		switch {
 		case eng.Leaving || slices.Contains(avoid, eng.ID):
 		case now < eng.ejectedUntil || eng.ejectedUntil > 0 && eng.probing:
 			ejected = append(ejected, eng)
-		case eng.Places > 0 && eng.streams(now) >= float64(eng.Places), eng.Memory > 0 && eng.memoryNeed() > eng.Memory:
+		case eng.Slots > 0 && eng.streams(now) >= float64(eng.Slots), eng.Memory > 0 && eng.memoryNeed() > eng.Memory:
 			full = append(full, eng)
 		default:
 			free = append(free, eng)
--- a/pkg/place/place.go
+++ b/pkg/place/place.go
@@ -35,9 +35,9 @@
 	Addr    string
 	Zone    string
 	Leaving bool
-	// Places is the number of concurrent requests, Memory the tokens that these and the prefix
+	// Slots is the number of concurrent requests, Memory the tokens that these and the prefix
 	// cache share; zero for no bound.
-	Places int
+	Slots  int
 	Memory int
 	// Fetches reports whether it can fetch cached parts from other engines.
 	Fetches bool
@@ -84,9 +84,9 @@
 	probing      bool
 }
 
-// Book is the placer of a pool of engines. The zero value is an empty pool. It is not safe for
+// Placer is the placer of a pool of engines. The zero value is an empty pool. It is not safe for
 // concurrent use.
-type Book struct {
+type Placer struct {
 	list []*engine
 	byID map[string]*engine
 	runs map[string]*run
@@ -102,7 +102,7 @@
 
 // Sync replaces the list of engines; the state of those that remain is kept. An engine once marked
 // as leaving stays so.
-func (plc *Book) Sync(list []Engine) {
+func (plc *Placer) Sync(list []Engine) {
 	byID := make(map[string]*engine, len(list))
 	all := make([]*engine, 0, len(list))
 	for _, eng := range list {
@@ -120,10 +120,10 @@
 }
 
 // Len returns the number of engines.
-func (plc *Book) Len() int { return len(plc.list) }
+func (plc *Placer) Len() int { return len(plc.list) }
 
 // Find returns an engine by its ID.
-func (plc *Book) Find(id string) (Engine, bool) {
+func (plc *Placer) Find(id string) (Engine, bool) {
 	eng, ok := plc.byID[id]
 	if !ok {
 		return Engine{}, false
@@ -132,25 +132,25 @@
 }
 
 // Usable reports whether an engine is known, not leaving and not ejected.
-func (plc *Book) Usable(id string, now clock.Milli) bool {
+func (plc *Placer) Usable(id string, now clock.Milli) bool {
 	eng, ok := plc.byID[id]
 	return ok && !eng.Leaving && now >= eng.ejectedUntil
 }
 
 // Full reports whether all known slots of an engine are busy.
-func (plc *Book) Full(id string, now clock.Milli) bool {
+func (plc *Placer) Full(id string, now clock.Milli) bool {
 	eng, ok := plc.byID[id]
-	return ok && eng.Places > 0 && eng.streams(now) >= float64(eng.Places)
+	return ok && eng.Slots > 0 && eng.streams(now) >= float64(eng.Slots)
 }
 
 // Begin records that a request was sent to an engine; ticket identifies it in later calls. gap is
 // the maximum gap of streams there.
-func (plc *Book) Begin(id, ticket string, prm Prompt, gap, now clock.Milli) {
+func (plc *Placer) Begin(id, ticket string, prm Prompt, gap, now clock.Milli) {
 	eng, ok := plc.byID[id]
 	if !ok {
 		return
 	}
-	read := max(prm.In-eng.cache.prefixTokens(prm, eng.Memory), 1)
+	read := max(prm.InTokens-eng.cache.prefixTokens(prm, eng.Memory), 1)
 	rn := &run{ticket: ticket, eng: eng, prompt: prm, readTokens: read, readMs: plc.readTime(eng, read, now), sentAt: now, uncontended: true}
 	for _, oth := range eng.runs {
 		if !oth.streaming {
@@ -169,7 +169,7 @@
 	plc.meanSize += sizeWeight * (prm.size() - plc.meanSize)
 	eng.runs = append(eng.runs, rn)
 	eng.probing = eng.ejectedUntil > 0
-	eng.cache.add(prm.shared(), read+prm.Out)
+	eng.cache.add(prm.shared(), read+prm.MaxOutTokens)
 	if plc.runs == nil {
 		plc.runs = map[string]*run{}
 	}
@@ -177,7 +177,7 @@
 }
 
 // First records the first event of a request, and its time since the request was sent.
-func (plc *Book) First(ticket string, took, now clock.Milli) {
+func (plc *Placer) First(ticket string, took, now clock.Milli) {
 	rn, ok := plc.runs[ticket]
 	if !ok || rn.streaming {
 		return
@@ -186,7 +186,7 @@
 	rn.eng.headSince = now
 	for _, oth := range rn.eng.runs {
 		if oth.streaming && oth != rn {
-			oth.overlapTokens = max(oth.overlapTokens, rn.prompt.In)
+			oth.overlapTokens = max(oth.overlapTokens, rn.prompt.InTokens)
 		}
 	}
 	if !rn.uncontended {
@@ -203,16 +203,16 @@
 
 // Endings of a request.
 const (
-	// Well: the engine answered.
-	Well Ending = iota
-	// Ill: the engine failed the request.
-	Ill
-	// Untold: the ending says nothing about the engine's health.
-	Untold
+	// Succeeded: the engine answered.
+	Succeeded Ending = iota
+	// Failed: the engine failed the request.
+	Failed
+	// Neutral: the ending says nothing about the engine's health.
+	Neutral
 )
 
 // End records the end of a request, and the longest pause between events of its answer.
-func (plc *Book) End(ticket string, end Ending, pause, now clock.Milli) {
+func (plc *Placer) End(ticket string, end Ending, pause, now clock.Milli) {
 	rn, ok := plc.runs[ticket]
 	if !ok {
 		return
@@ -220,16 +220,16 @@
 	eng := rn.eng
 	plc.remove(rn, now)
 	eng.probing = false
-	if end == Well {
+	if end == Succeeded {
 		eng.failures, eng.ejectedUntil = 0, 0
-		if rn.streaming && rn.prompt.Out > 0 {
-			plc.streamMs = plc.msPerOutToken() + streamMsWeight*(float64(now-rn.firstAt)/float64(rn.prompt.Out)-plc.msPerOutToken())
+		if rn.streaming && rn.prompt.MaxOutTokens > 0 {
+			plc.streamMs = plc.msPerOutToken() + streamMsWeight*(float64(now-rn.firstAt)/float64(rn.prompt.MaxOutTokens)-plc.msPerOutToken())
 		}
 		if rn.overlapTokens > 0 && pause > 0 {
 			plc.pauses.sample(rn.overlapTokens, float64(pause)/eng.slow.current(now))
 		}
 	}
-	if end != Ill {
+	if end != Failed {
 		return
 	}
 	if eng.failures++; eng.failures >= failuresToEject {
@@ -237,7 +237,7 @@
 	}
 }
 
-func (plc *Book) remove(rn *run, now clock.Milli) {
+func (plc *Placer) remove(rn *run, now clock.Milli) {
 	delete(plc.runs, rn.ticket)
 	rn.eng.runs = slices.DeleteFunc(rn.eng.runs, func(oth *run) bool { return oth == rn })
 	if !rn.streaming {
@@ -246,7 +246,7 @@
 }
 
 // expire removes requests whose end was not recorded within runTTL.
-func (plc *Book) expire(now clock.Milli) {
+func (plc *Placer) expire(now clock.Milli) {
 	for _, rn := range plc.runs {
 		if now-rn.sentAt > runTTL {
 			plc.remove(rn, now)
@@ -254,29 +254,29 @@
 	}
 }
 
-// Holds records the parts that an engine reports as cached.
-func (plc *Book) Holds(id string, parts []Part) {
+// ReportCached records the parts that an engine reports as cached.
+func (plc *Placer) ReportCached(id string, parts []Part) {
 	if eng, ok := plc.byID[id]; ok {
 		eng.cache.add(parts, 0)
 	}
 }
 
-// Said records the load that an engine reports: its running and waiting requests, of all instances.
-func (plc *Book) Said(id string, load int, now clock.Milli) {
+// ReportLoad records the load that an engine reports: its running and waiting requests, of all instances.
+func (plc *Placer) ReportLoad(id string, load int, now clock.Milli) {
 	if eng, ok := plc.byID[id]; ok {
 		eng.foreignRuns, eng.reportedAt = max(0, float64(load-len(eng.runs))), now
 	}
 }
 
 // Leave marks an engine as leaving.
-func (plc *Book) Leave(id string) {
+func (plc *Placer) Leave(id string) {
 	if eng, ok := plc.byID[id]; ok {
 		eng.Leaving = true
 	}
 }
 
 // msPerOutToken returns the duration of a stream per token of its limit.
-func (plc *Book) msPerOutToken() float64 {
+func (plc *Placer) msPerOutToken() float64 {
 	if plc.streamMs == 0 {
 		return defaultStreamMs
 	}
@@ -284,7 +284,7 @@
 }
 
 // relativeSize returns the size of a request divided by the mean.
-func (plc *Book) relativeSize(prm Prompt) float64 {
+func (plc *Placer) relativeSize(prm Prompt) float64 {
 	if plc.meanSize == 0 {
 		return 1
 	}
@@ -293,7 +293,7 @@
 
 // relativeSizeAt returns the sum of the relative sizes of the requests at an engine. Those known
 // only from the engine's report count as of mean size.
-func (plc *Book) relativeSizeAt(eng *engine, now clock.Milli) float64 {
+func (plc *Placer) relativeSizeAt(eng *engine, now clock.Milli) float64 {
 	sum := eng.streams(now) - float64(len(eng.runs))
 	for _, rn := range eng.runs {
 		sum += plc.relativeSize(rn.prompt)
@@ -331,7 +331,7 @@
 func (eng *engine) memoryNeed() int {
 	sum := 0
 	for _, rn := range eng.runs {
-		sum += rn.prompt.In + rn.prompt.Out
+		sum += rn.prompt.InTokens + rn.prompt.MaxOutTokens
 	}
 	return sum
 }
--- a/pkg/place/place_test.go
+++ b/pkg/place/place_test.go
@@ -9,25 +9,25 @@
 	"amaranthvalve/pkg/clock"
 )
 
-func newPlacer(count int) *Book {
-	plc := &Book{}
+func newPlacer(count int) *Placer {
+	plc := &Placer{}
 	var list []Engine
 	for i := range count {
-		list = append(list, Engine{ID: fmt.Sprintf("e%d", i), Addr: fmt.Sprintf("a%d", i), Places: 64})
+		list = append(list, Engine{ID: fmt.Sprintf("e%d", i), Addr: fmt.Sprintf("a%d", i), Slots: 64})
 	}
 	plc.Sync(list)
 	return plc
 }
 
 func prompt(shared string) Prompt {
-	return Prompt{Parts: []Part{{ID: "all", Tokens: 500}, {ID: shared, Tokens: 3800}, {ID: "own", Tokens: 100}}, In: 4400, Out: 200}
+	return Prompt{Parts: []Part{{ID: "all", Tokens: 500}, {ID: shared, Tokens: 3800}, {ID: "own", Tokens: 100}}, InTokens: 4400, MaxOutTokens: 200}
 }
 
 // pick chooses an engine and begins the request there.
-func pick(plc *Book, ticket string, ask Ask, now clock.Milli) Seat {
+func pick(plc *Placer, ticket string, ask Ask, now clock.Milli) Placement {
 	seat, ok := plc.Pick(ask, now)
 	if ok {
-		plc.Begin(seat.Engine.ID, ticket, ask.Prompt, ask.Gap, now)
+		plc.Begin(seat.Engine.ID, ticket, ask.Prompt, ask.MaxGap, now)
 	}
 	return seat
 }
@@ -76,7 +76,7 @@
 	plc := newPlacer(8)
 	used := map[string]bool{}
 	for i := range 8 {
-		used[pick(plc, fmt.Sprint(i), Ask{Prompt: Prompt{In: 2000, Out: 10}, Salt: fmt.Sprint(i)}, 0).Engine.ID] = true
+		used[pick(plc, fmt.Sprint(i), Ask{Prompt: Prompt{InTokens: 2000, MaxOutTokens: 10}, Salt: fmt.Sprint(i)}, 0).Engine.ID] = true
 	}
 	gom.Expect(used).To(gomega.HaveLen(8))
 }
@@ -102,14 +102,14 @@
 func TestCostCountsTokensToRead(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	plc := newPlacer(2)
-	plc.Begin("e0", "long", Prompt{In: 40000, Out: 100}, 0, 0)
+	plc.Begin("e0", "long", Prompt{InTokens: 40000, MaxOutTokens: 100}, 0, 0)
 	for i := range 5 {
 		ticket := fmt.Sprint(i)
-		plc.Begin("e1", ticket, Prompt{In: 500, Out: 300}, 0, 0)
+		plc.Begin("e1", ticket, Prompt{InTokens: 500, MaxOutTokens: 300}, 0, 0)
 		plc.First(ticket, 30, 0)
 	}
 	for i := range 20 {
-		seat, _ := plc.Pick(Ask{Prompt: Prompt{In: 500, Out: 10}, Salt: fmt.Sprint(i)}, 100)
+		seat, _ := plc.Pick(Ask{Prompt: Prompt{InTokens: 500, MaxOutTokens: 10}, Salt: fmt.Sprint(i)}, 100)
 		gom.Expect(seat.Engine.ID).To(gomega.Equal("e1"))
 	}
 }
@@ -128,18 +128,18 @@
 	plc.First("1", 120, 120)
 	second := pick(plc, "2", ask, 1000)
 	gom.Expect(second.Engine.ID).To(gomega.Equal(first.Engine.ID))
-	gom.Expect(second.Held).To(gomega.Equal(4300))
-	gom.Expect(second.From).To(gomega.BeEmpty())
+	gom.Expect(second.CachedTokens).To(gomega.Equal(4300))
+	gom.Expect(second.FetchAddr).To(gomega.BeEmpty())
 	plc.First("2", 30, 1030)
-	plc.Begin(first.Engine.ID, "long", Prompt{In: 40000, Out: 10}, 0, 1100)
+	plc.Begin(first.Engine.ID, "long", Prompt{InTokens: 40000, MaxOutTokens: 10}, 0, 1100)
 	third := pick(plc, "3", ask, 1101)
 	gom.Expect(third.Engine.ID).NotTo(gomega.Equal(first.Engine.ID))
-	gom.Expect(third.From).To(gomega.Equal(first.Engine.Addr))
+	gom.Expect(third.FetchAddr).To(gomega.Equal(first.Engine.Addr))
 	for _, eng := range plc.list {
 		eng.Fetches = false
 	}
 	fourth, _ := plc.Pick(ask, 1102)
-	gom.Expect(fourth.From).To(gomega.BeEmpty())
+	gom.Expect(fourth.FetchAddr).To(gomega.BeEmpty())
 }
 
 // TestPrefixCacheEviction: a part counts as cached until the engine has processed its share of
@@ -170,12 +170,12 @@
 	for i := range 20 {
 		plc := newPlacer(6)
 		ask := Ask{Prompt: prompt(fmt.Sprint("doc", i))}
-		plc.Holds("e3", ask.Prompt.Parts[:2])
-		plc.Holds("e5", ask.Prompt.Parts[1:2])
-		plc.Holds("e9", ask.Prompt.Parts)
+		plc.ReportCached("e3", ask.Prompt.Parts[:2])
+		plc.ReportCached("e5", ask.Prompt.Parts[1:2])
+		plc.ReportCached("e9", ask.Prompt.Parts)
 		seat, _ := plc.Pick(ask, 0)
 		gom.Expect(seat.Engine.ID).To(gomega.Equal("e3"))
-		gom.Expect(seat.Held).To(gomega.Equal(4300))
+		gom.Expect(seat.CachedTokens).To(gomega.Equal(4300))
 	}
 }
 
@@ -192,7 +192,7 @@
 		seat, _ := plc.Pick(Ask{Prompt: prompt("doc"), Avoid: nil}, 2000+100*i)
 		gom.Expect(seat.Engine.ID).NotTo(gomega.Equal(home))
 	}
-	plc.End("1", Untold, 0, 3000)
+	plc.End("1", Neutral, 0, 3000)
 	gom.Expect(plc.byID[home].queueTime(3000)).To(gomega.BeZero())
 }
 
@@ -202,7 +202,7 @@
 	gom := gomega.NewWithT(t)
 	plc := newPlacer(1)
 	for i := range 64 {
-		plc.Begin("e0", fmt.Sprint(i), Prompt{In: 100, Out: 10}, 0, 0)
+		plc.Begin("e0", fmt.Sprint(i), Prompt{InTokens: 100, MaxOutTokens: 10}, 0, 0)
 	}
 	gom.Expect(plc.Full("e0", 100)).To(gomega.BeTrue())
 	_, ok := plc.Pick(Ask{}, runTTL+1)
@@ -218,7 +218,7 @@
 	plc := newPlacer(2)
 	ask := Ask{Prompt: prompt("x")}
 	home, _ := plc.Pick(ask, 0)
-	plc.Said(home.Engine.ID, 64, 0)
+	plc.ReportLoad(home.Engine.ID, 64, 0)
 	other, _ := plc.Pick(ask, 0)
 	gom.Expect(other.Engine.ID).NotTo(gomega.Equal(home.Engine.ID))
 	again, _ := plc.Pick(ask, 60*clock.Second)
@@ -233,17 +233,17 @@
 	plc := newPlacer(2)
 	for i := range 300 {
 		plc.pauses.sample(200*i, float64(i))
-		plc.Begin("e0", fmt.Sprint("m", i), Prompt{In: 1000, Out: 500}, 0, 0)
-		plc.End(fmt.Sprint("m", i), Untold, 0, 0)
+		plc.Begin("e0", fmt.Sprint("m", i), Prompt{InTokens: 1000, MaxOutTokens: 500}, 0, 0)
+		plc.End(fmt.Sprint("m", i), Neutral, 0, 0)
 	}
-	plc.Begin("e0", "large", Prompt{In: 30000, Out: 1500}, 200, 0)
+	plc.Begin("e0", "large", Prompt{InTokens: 30000, MaxOutTokens: 1500}, 200, 0)
 	plc.First("large", 900, 900)
 	for _, ticket := range []string{"1", "2"} {
-		plc.Begin("e1", ticket, Prompt{In: 800, Out: 400}, 200, 900)
+		plc.Begin("e1", ticket, Prompt{InTokens: 800, MaxOutTokens: 400}, 200, 900)
 		plc.First(ticket, 30, 930)
 	}
 	for i := range 20 {
-		seat, _ := plc.Pick(Ask{Prompt: Prompt{In: 40000, Out: 100}, Salt: fmt.Sprint(i), Gap: 200}, 1000)
+		seat, _ := plc.Pick(Ask{Prompt: Prompt{InTokens: 40000, MaxOutTokens: 100}, Salt: fmt.Sprint(i), MaxGap: 200}, 1000)
 		gom.Expect(seat.Engine.ID).To(gomega.Equal("e1"))
 	}
 }
@@ -252,10 +252,10 @@
 // of the same cost one there is chosen.
 func TestPrefersZoneOfResults(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	plc := &Book{}
+	plc := &Placer{}
 	plc.Sync([]Engine{{ID: "a", Zone: "z1"}, {ID: "b", Zone: "z2"}})
 	for i := range 20 {
-		seat, _ := plc.Pick(Ask{Prompt: Prompt{In: 500}, Salt: fmt.Sprint(i), Zone: "z2", Bytes: 2_000_000}, 0)
+		seat, _ := plc.Pick(Ask{Prompt: Prompt{InTokens: 500}, Salt: fmt.Sprint(i), Zone: "z2", Bytes: 2_000_000}, 0)
 		gom.Expect(seat.Engine.ID).To(gomega.Equal("b"))
 	}
 }
@@ -264,14 +264,14 @@
 // otherwise the first would have to preempt requests.
 func TestMemoryLimit(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	plc := &Book{}
-	plc.Sync([]Engine{{ID: "a", Memory: 50000, Places: 64}, {ID: "b", Memory: 50000, Places: 64}})
-	ask := Ask{Prompt: Prompt{In: 26000, Out: 100}, Salt: "s"}
+	plc := &Placer{}
+	plc.Sync([]Engine{{ID: "a", Memory: 50000, Slots: 64}, {ID: "b", Memory: 50000, Slots: 64}})
+	ask := Ask{Prompt: Prompt{InTokens: 26000, MaxOutTokens: 100}, Salt: "s"}
 	first := pick(plc, "1", ask, 0).Engine.ID
 	plc.First("1", 900, 900)
 	plc.Begin(first, "2", ask.Prompt, 0, 900)
 	plc.First("2", 900, 1800)
-	seat, ok := plc.Pick(Ask{Prompt: Prompt{In: 10}, Salt: "s"}, 1900)
+	seat, ok := plc.Pick(Ask{Prompt: Prompt{InTokens: 10}, Salt: "s"}, 1900)
 	gom.Expect(ok).To(gomega.BeTrue())
 	gom.Expect(seat.Engine.ID).NotTo(gomega.Equal(first))
 }
@@ -286,7 +286,7 @@
 	fail := func(id string, now clock.Milli) {
 		for range 2 {
 			plc.Begin(id, "t", ask.Prompt, 0, now)
-			plc.End("t", Ill, 0, now)
+			plc.End("t", Failed, 0, now)
 		}
 	}
 	fail(home.Engine.ID, 0)
@@ -308,23 +308,23 @@
 // of requests to the previous process do not count against it.
 func TestRestartedEngineIsReset(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	plc := &Book{}
-	plc.Sync([]Engine{{ID: "e@1", Places: 2}})
+	plc := &Placer{}
+	plc.Sync([]Engine{{ID: "e@1", Slots: 2}})
 	plc.Begin("e@1", "1", prompt("doc"), 0, 0)
 	plc.Begin("e@1", "2", prompt("doc"), 0, 0)
 	plc.Begin("e@1", "3", prompt("doc"), 0, 0)
-	plc.Said("e@1", 3, 0)
-	plc.End("1", Ill, 0, 0)
-	plc.End("2", Ill, 0, 0)
+	plc.ReportLoad("e@1", 3, 0)
+	plc.End("1", Failed, 0, 0)
+	plc.End("2", Failed, 0, 0)
 	plc.Leave("e@1")
-	plc.Sync([]Engine{{ID: "e@2", Places: 2}})
+	plc.Sync([]Engine{{ID: "e@2", Slots: 2}})
 	gom.Expect(plc.Usable("e@2", 1)).To(gomega.BeTrue())
 	gom.Expect(plc.Full("e@2", 1)).To(gomega.BeFalse())
 	seat, _ := plc.Pick(Ask{Prompt: prompt("doc")}, 1)
 	gom.Expect(seat.Wait + clock.Milli(seat.Streams)).To(gomega.BeZero())
 	gom.Expect(plc.byID["e@2"].cache.at).To(gomega.BeEmpty())
-	plc.End("3", Ill, 0, 2)
-	plc.Said("e@1", 2, 2)
+	plc.End("3", Failed, 0, 2)
+	plc.ReportLoad("e@1", 2, 2)
 	gom.Expect(plc.Usable("e@2", 3)).To(gomega.BeTrue())
 	gom.Expect(plc.Full("e@2", 3)).To(gomega.BeFalse())
 }
--- a/pkg/place/prompt.go
+++ b/pkg/place/prompt.go
@@ -12,9 +12,9 @@
 type Prompt struct {
 	// Parts are in order; the last one is the request's own, the others may be shared.
 	Parts []Part `cbor:"1,keyasint,omitempty"`
-	// In is the number of tokens to read, Out the limit of tokens to generate.
-	In  int `cbor:"2,keyasint,omitempty"`
-	Out int `cbor:"3,keyasint,omitempty"`
+	// InTokens is the number of tokens to read, Out the limit of tokens to generate.
+	InTokens     int `cbor:"2,keyasint,omitempty"`
+	MaxOutTokens int `cbor:"3,keyasint,omitempty"`
 }
 
 // Key identifies the shared parts; it is empty if there are none.
@@ -42,4 +42,4 @@
 const outTokenWeight = 10
 
 // size is the work of a request in tokens read.
-func (prm Prompt) size() float64 { return float64(prm.In + outTokenWeight*prm.Out) }
+func (prm Prompt) size() float64 { return float64(prm.InTokens + outTokenWeight*prm.MaxOutTokens) }
--- a/pkg/plan/draft.go
+++ b/pkg/plan/draft.go
@@ -31,15 +31,15 @@
 	// Kind is the name of a [Kind].
 	Kind    string
 	Timeout clock.Milli
-	// Goal is the target latency, Gap the maximum gap between events of a stream.
-	Goal      clock.Milli
-	Gap       clock.Milli
-	Priority  int
-	Attempts  int
-	Targets   []DraftTarget
-	Stages    []DraftStage
-	Open      bool
-	Resumable bool
+	// TargetLatency is the target latency, Gap the maximum gap between events of a stream.
+	TargetLatency clock.Milli
+	MaxEventGap   clock.Milli
+	Priority      int
+	Attempts      int
+	Targets       []DraftTarget
+	Stages        []DraftStage
+	Open          bool
+	Resumable     bool
 }
 
 // DraftTarget is a pool that gets a weighted share of a route's requests.
@@ -67,20 +67,20 @@
 
 // DraftBatch describes how an endpoint of a pool processes batches of stage items.
 type DraftBatch struct {
-	// Places is the number of batches processed concurrently, Queue that of batches
+	// Slots is the number of batches processed concurrently, Queue that of batches
 	// that may be queued.
-	Places int
-	Queue  int
-	// Most is the maximum number of items in a batch.
-	Most int
+	Slots int
+	Queue int
+	// MaxItems is the maximum number of items in a batch.
+	MaxItems int
 	// Call is the fixed time of a batch, Item the additional time of each item, in
 	// milliseconds.
 	Call float64
 	Item float64
-	// Room is the capacity of an endpoint for results, in bytes.
-	Room int64
-	// Keep is the TTL of a result that is not released.
-	Keep clock.Milli
+	// ResultBytes is the capacity of an endpoint for results, in bytes.
+	ResultBytes int64
+	// ResultTTL is the TTL of a result that is not released.
+	ResultTTL clock.Milli
 	// Link is the bandwidth for fetching results in Mbit/s; zero if unknown.
 	Link float64
 }
@@ -164,10 +164,10 @@
 	switch {
 	case pol.Name == "":
 		return fmt.Errorf("name is missing")
-	case pol.Batch != nil && (pol.Batch.Most < 1 || pol.Batch.Places < 1):
-		return fmt.Errorf("batch size %d and slots %d must be at least 1", pol.Batch.Most, pol.Batch.Places)
-	case pol.Batch != nil && (pol.Batch.Call < 0 || pol.Batch.Item < 0 || pol.Batch.Room < 0):
-		return fmt.Errorf("time per batch %g ms, time per item %g ms and result capacity %d bytes must not be below 0", pol.Batch.Call, pol.Batch.Item, pol.Batch.Room)
+	case pol.Batch != nil && (pol.Batch.MaxItems < 1 || pol.Batch.Slots < 1):
+		return fmt.Errorf("batch size %d and slots %d must be at least 1", pol.Batch.MaxItems, pol.Batch.Slots)
+	case pol.Batch != nil && (pol.Batch.Call < 0 || pol.Batch.Item < 0 || pol.Batch.ResultBytes < 0):
+		return fmt.Errorf("time per batch %g ms, time per item %g ms and result capacity %d bytes must not be below 0", pol.Batch.Call, pol.Batch.Item, pol.Batch.ResultBytes)
 	}
 	return nil
 }
@@ -184,8 +184,8 @@
 	if raw.Host == "" {
 		return nil, fmt.Errorf("host is missing")
 	}
-	if raw.Timeout < 0 || raw.Goal < 0 || raw.Gap < 0 {
-		return nil, fmt.Errorf("timeout %d ms, target latency %d ms and event gap %d ms must not be below 0", raw.Timeout, raw.Goal, raw.Gap)
+	if raw.Timeout < 0 || raw.TargetLatency < 0 || raw.MaxEventGap < 0 {
+		return nil, fmt.Errorf("timeout %d ms, target latency %d ms and event gap %d ms must not be below 0", raw.Timeout, raw.TargetLatency, raw.MaxEventGap)
 	}
 	if err := pln.checkTargets(raw.Targets); err != nil {
 		return nil, err
--- a/pkg/plan/plan.go
+++ b/pkg/plan/plan.go
@@ -59,8 +59,8 @@
 // Pools returns all pools by name.
 func (pln *Plan) Pools() map[string]*Pool { return pln.pools }
 
-// Named reports whether callers must authenticate their workspace with a token.
-func (pln *Plan) Named() bool { return len(pln.tokens) > 0 }
+// RequiresToken reports whether callers must authenticate their workspace with a token.
+func (pln *Plan) RequiresToken() bool { return len(pln.tokens) > 0 }
 
 // Workspace returns the workspace that a token belongs to.
 func (pln *Plan) Workspace(token string) (*Workspace, bool) {
@@ -122,11 +122,11 @@
 // Timeout returns the maximum response time, zero for no bound.
 func (rte *Route) Timeout() clock.Milli { return rte.draft.Timeout }
 
-// Goal returns the target latency: later answers are worth less to the caller.
-func (rte *Route) Goal() clock.Milli { return rte.draft.Goal }
+// TargetLatency returns the target latency: later answers are worth less to the caller.
+func (rte *Route) TargetLatency() clock.Milli { return rte.draft.TargetLatency }
 
-// Gap returns the maximum gap between two events of a stream that is on time.
-func (rte *Route) Gap() clock.Milli { return rte.draft.Gap }
+// MaxEventGap returns the maximum gap between two events of a stream that is on time.
+func (rte *Route) MaxEventGap() clock.Milli { return rte.draft.MaxEventGap }
 
 // Attempts returns the maximum number of endpoints tried for a request, at least 1.
 func (rte *Route) Attempts() int { return max(rte.draft.Attempts, 1) }
--- a/pkg/plan/plan_test.go
+++ b/pkg/plan/plan_test.go
@@ -16,7 +16,7 @@
 		Pools: []DraftPool{
 			{Name: "plain"},
 			{Name: "engines", Engine: &DraftEngine{Places: 8}},
-			{Name: "makers", Batch: &DraftBatch{Places: 1, Most: 4}},
+			{Name: "makers", Batch: &DraftBatch{Slots: 1, MaxItems: 4}},
 		},
 		Workspaces: []DraftWorkspace{{Name: "corella", Tokens: []string{"k1", "k2"}}, {Name: "shiretoko", Tokens: []string{"k2", "k3"}}},
 	}
