--- a/pkg/poison/list.go
+++ b/pkg/poison/list.go
@@ -10,8 +10,8 @@
 	"strings"
 
 	"amaranthvalve/pkg/clock"
+	"amaranthvalve/pkg/gossip"
 	"amaranthvalve/pkg/ident"
-	"amaranthvalve/pkg/rumor"
 )
 
 const (
@@ -35,8 +35,8 @@
 // the instance that observed the crash.
 const Cleared = ""
 
-// End is a crash of an endpoint while a request was in flight there.
-type End struct {
+// Crash is a crash of an endpoint while a request was in flight there.
+type Crash struct {
 	Endpoint ident.Process
 	// By is the address of the instance that observed the crash.
 	By string
@@ -45,42 +45,44 @@
 
 // List is an immutable index of crashes by request. A nil list is empty.
 type List struct {
-	byMark map[Mark][]End
+	byMark map[Fingerprint][]Crash
 }
 
 // Bounds returns the bounds of crash facts. Facts on requests with more crashes are evicted last:
 // otherwise the caller of a poison request could have its crashes evicted by sending many other
 // requests that are present at crashes.
-func Bounds(list func() *List) rumor.Bounds {
-	return rumor.Bounds{Keep: crashRetention, Most: maxCrashes, Weight: func(key string) int {
+func Bounds(list func() *List) gossip.Bounds {
+	return gossip.Bounds{Retention: crashRetention, MaxFacts: maxCrashes, Weight: func(key string) int {
 		mrk, _, _ := parseKey(key)
-		return len(list().Ends(mrk))
+		return len(list().Crashes(mrk))
 	}}
 }
 
 // Key returns the fact key of the crash of an endpoint with a request in flight.
-func Key(mrk Mark, endpoint ident.Process) string { return mrk.String() + "/" + string(endpoint) }
+func Key(mrk Fingerprint, endpoint ident.Process) string {
+	return mrk.String() + "/" + string(endpoint)
+}
 
 // parseKey parses a key made by [Key].
-func parseKey(key string) (mrk Mark, endpoint ident.Process, ok bool) {
+func parseKey(key string) (mrk Fingerprint, endpoint ident.Process, ok bool) {
 	name, rest, ok := strings.Cut(key, "/")
 	raw, err := hex.DecodeString(name)
 	if !ok || err != nil || len(raw) != markBytes {
-		return Mark{}, "", false
+		return Fingerprint{}, "", false
 	}
-	return Mark(raw), ident.Process(rest), true
+	return Fingerprint(raw), ident.Process(rest), true
 }
 
 // Read builds a list from crash facts. Malformed keys and cleared crashes are skipped.
-func Read(facts []rumor.Fact, now clock.Milli) *List {
-	lst := &List{byMark: map[Mark][]End{}}
+func Read(facts []gossip.Fact, now clock.Milli) *List {
+	lst := &List{byMark: map[Fingerprint][]Crash{}}
 	for _, fct := range facts {
 		if mrk, endpoint, ok := parseKey(fct.Key); ok && fct.Value != Cleared {
-			lst.byMark[mrk] = append(lst.byMark[mrk], End{Endpoint: endpoint, By: fct.Value, At: now - fct.Age})
+			lst.byMark[mrk] = append(lst.byMark[mrk], Crash{Endpoint: endpoint, By: fct.Value, At: now - fct.Age})
 		}
 	}
 	for _, ends := range lst.byMark {
-		slices.SortFunc(ends, func(x, y End) int {
+		slices.SortFunc(ends, func(x, y Crash) int {
 			return cmp.Or(cmp.Compare(x.At, y.At), strings.Compare(string(x.Endpoint), string(y.Endpoint)))
 		})
 	}
@@ -90,8 +92,8 @@
 // Empty reports whether no request is suspected.
 func (lst *List) Empty() bool { return lst == nil || len(lst.byMark) == 0 }
 
-// Ends returns the crashes of a request, the oldest first.
-func (lst *List) Ends(mrk Mark) []End {
+// Crashes returns the crashes of a request, the oldest first.
+func (lst *List) Crashes(mrk Fingerprint) []Crash {
 	if lst == nil {
 		return nil
 	}
@@ -99,11 +101,11 @@
 }
 
 // Quarantined returns the rest of a request's quarantine; zero if it is not quarantined.
-func (lst *List) Quarantined(mrk Mark, now clock.Milli) clock.Milli {
+func (lst *List) Quarantined(mrk Fingerprint, now clock.Milli) clock.Milli {
 	if !lst.OnTrial(mrk) {
 		return 0
 	}
-	ends := lst.Ends(mrk)
+	ends := lst.Crashes(mrk)
 	span := firstQuarantine
 	for range len(ends) - crashesAllowed - 1 {
 		span = min(quarantineFactor*span, crashRetention)
@@ -113,12 +115,12 @@
 
 // OnTrial reports whether a request has so many crashes that it is admitted only after its
 // quarantine, and one attempt at a time.
-func (lst *List) OnTrial(mrk Mark) bool { return len(lst.Ends(mrk)) > crashesAllowed }
+func (lst *List) OnTrial(mrk Fingerprint) bool { return len(lst.Crashes(mrk)) > crashesAllowed }
 
-// Quarantining returns the facts that quarantine requests, or will do so after the next trial: the
+// QuarantineFacts returns the facts that quarantine requests, or will do so after the next trial: the
 // last each facts of a request, for at most marks requests.
-func Quarantining(facts []rumor.Fact, lst *List, marks, each int) []rumor.Fact {
-	var list []rumor.Fact
+func QuarantineFacts(facts []gossip.Fact, lst *List, marks, each int) []gossip.Fact {
+	var list []gossip.Fact
 	wanted := map[string]bool{}
 	for mrk, ends := range lst.all() {
 		if !lst.OnTrial(mrk) || marks == 0 {
@@ -138,12 +140,12 @@
 }
 
 // all iterates over the crashes of each request, in the order of the fingerprints.
-func (lst *List) all() iter.Seq2[Mark, []End] {
-	return func(yield func(Mark, []End) bool) {
+func (lst *List) all() iter.Seq2[Fingerprint, []Crash] {
+	return func(yield func(Fingerprint, []Crash) bool) {
 		if lst == nil {
 			return
 		}
-		for _, mrk := range slices.SortedFunc(maps.Keys(lst.byMark), func(x, y Mark) int { return bytes.Compare(x[:], y[:]) }) {
+		for _, mrk := range slices.SortedFunc(maps.Keys(lst.byMark), func(x, y Fingerprint) int { return bytes.Compare(x[:], y[:]) }) {
 			if !yield(mrk, lst.byMark[mrk]) {
 				return
 			}
@@ -151,9 +153,9 @@
 	}
 }
 
-// Newly returns the requests that are quarantined now but not according to an earlier list.
-func (lst *List) Newly(before *List, now clock.Milli) []Mark {
-	var marks []Mark
+// NewlyQuarantined returns the requests that are quarantined now but not according to an earlier list.
+func (lst *List) NewlyQuarantined(before *List, now clock.Milli) []Fingerprint {
+	var marks []Fingerprint
 	for mrk := range lst.all() {
 		if lst.Quarantined(mrk, now) > 0 && before.Quarantined(mrk, now) == 0 {
 			marks = append(marks, mrk)
@@ -164,10 +166,10 @@
 
 // Clear marks the crashes of a request as cleared in a table and returns the changed facts, which
 // the caller passes on. A request that an endpoint has completed is not the cause of crashes.
-func Clear(tbl *rumor.Table, lst *List, mrk Mark, now clock.Milli) []rumor.Fact {
-	var fresh []rumor.Fact
-	for _, end := range lst.Ends(mrk) {
-		if fct, ok := tbl.Set(rumor.EndedUnder, Key(mrk, end.Endpoint), Cleared, now); ok {
+func Clear(tbl *gossip.Table, lst *List, mrk Fingerprint, now clock.Milli) []gossip.Fact {
+	var fresh []gossip.Fact
+	for _, end := range lst.Crashes(mrk) {
+		if fct, ok := tbl.Set(gossip.EndedUnder, Key(mrk, end.Endpoint), Cleared, now); ok {
 			fresh = append(fresh, fct)
 		}
 	}
--- a/pkg/poison/list_test.go
+++ b/pkg/poison/list_test.go
@@ -9,46 +9,46 @@
 	"pgregory.net/rapid"
 
 	"amaranthvalve/pkg/clock"
+	"amaranthvalve/pkg/gossip"
 	"amaranthvalve/pkg/ident"
-	"amaranthvalve/pkg/rumor"
 )
 
 // observer is the fact table of an instance with the list built from it.
 type observer struct {
-	tbl rumor.Table
+	tbl gossip.Table
 	lst *List
 }
 
 func newObserver() *observer {
 	obs := &observer{}
-	obs.tbl.Bound(rumor.EndedUnder, Bounds(func() *List { return obs.lst }))
+	obs.tbl.Bound(gossip.EndedUnder, Bounds(func() *List { return obs.lst }))
 	return obs
 }
 
 func (obs *observer) refresh(now clock.Milli) {
-	obs.lst = Read(obs.tbl.All(rumor.EndedUnder, now), now)
+	obs.lst = Read(obs.tbl.All(gossip.EndedUnder, now), now)
 }
 
-func (obs *observer) crash(mrk Mark, endpoint string, now clock.Milli) {
-	obs.tbl.Set(rumor.EndedUnder, Key(mrk, ident.Process(endpoint)), "10.0.0.1:7300", now)
+func (obs *observer) crash(mrk Fingerprint, endpoint string, now clock.Milli) {
+	obs.tbl.Set(gossip.EndedUnder, Key(mrk, ident.Process(endpoint)), "10.0.0.1:7300", now)
 	obs.refresh(now)
 }
 
-func (obs *observer) clear(mrk Mark, now clock.Milli) {
+func (obs *observer) clear(mrk Fingerprint, now clock.Milli) {
 	Clear(&obs.tbl, obs.lst, mrk, now)
 	obs.refresh(now)
 }
 
 var (
-	poisonous = MarkOf("desk.example", "/plan", "corella", []byte("deadly"))
-	harmless  = MarkOf("desk.example", "/plan", "corella", []byte("other"))
+	poisonous = FingerprintOf("desk.example", "/plan", "corella", []byte("deadly"))
+	harmless  = FingerprintOf("desk.example", "/plan", "corella", []byte("other"))
 )
 
 func ExampleList_Quarantined() {
 	obs := newObserver()
 	for i := range 3 {
 		obs.crash(poisonous, fmt.Sprintf("i-%d", i), clock.Milli(i)*clock.Second)
-		fmt.Println(len(obs.lst.Ends(poisonous)), obs.lst.Quarantined(poisonous, clock.Milli(i)*clock.Second) > 0, obs.lst.Quarantined(harmless, 0) > 0)
+		fmt.Println(len(obs.lst.Crashes(poisonous)), obs.lst.Quarantined(poisonous, clock.Milli(i)*clock.Second) > 0, obs.lst.Quarantined(harmless, 0) > 0)
 	}
 	// Output:
 	// 1 false false
@@ -60,11 +60,11 @@
 func TestKeysSurviveEncoding(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		gom := gomega.NewWithT(t)
-		mrk := MarkOf("", "", "", rapid.SliceOf(rapid.Byte()).Draw(rt, "body"))
+		mrk := FingerprintOf("", "", "", rapid.SliceOf(rapid.Byte()).Draw(rt, "body"))
 		endpoint := ident.Process(rapid.String().Draw(rt, "endpoint"))
-		body, err := cbor.Marshal(rumor.Fact{Key: Key(mrk, endpoint)})
+		body, err := cbor.Marshal(gossip.Fact{Key: Key(mrk, endpoint)})
 		gom.Expect(err).NotTo(gomega.HaveOccurred())
-		var fct rumor.Fact
+		var fct gossip.Fact
 		gom.Expect(cbor.Unmarshal(body, &fct)).To(gomega.Succeed())
 		gotMark, gotEndpoint, ok := parseKey(fct.Key)
 		gom.Expect(ok).To(gomega.BeTrue())
@@ -80,7 +80,7 @@
 	for range 5 {
 		obs.crash(poisonous, "i-1", 0)
 	}
-	gom.Expect(obs.lst.Ends(poisonous)).To(gomega.HaveLen(1))
+	gom.Expect(obs.lst.Crashes(poisonous)).To(gomega.HaveLen(1))
 }
 
 // Guards against refusing a request for crashes that it didn't cause.
@@ -93,7 +93,7 @@
 			obs.clear(harmless, 0)
 		}
 	}
-	gom.Expect(obs.lst.Ends(harmless)).To(gomega.BeEmpty())
+	gom.Expect(obs.lst.Crashes(harmless)).To(gomega.BeEmpty())
 	// An instance that knows only of a crash learns that it was cleared.
 	far.crash(harmless, "i-0", 0)
 	far.tbl.Learn(obs.tbl.Sample(100, 1), 1)
@@ -134,7 +134,7 @@
 		obs.crash(poisonous, fmt.Sprintf("i-%d", i), 0)
 	}
 	for i := range maxCrashes + 100 {
-		obs.tbl.Set(rumor.EndedUnder, Key(MarkOf("h", fmt.Sprint(i), "", nil), "i-9"), "x", 1)
+		obs.tbl.Set(gossip.EndedUnder, Key(FingerprintOf("h", fmt.Sprint(i), "", nil), "i-9"), "x", 1)
 	}
 	obs.refresh(1)
 	gom.Expect(obs.tbl.Len()).To(gomega.Equal(maxCrashes))
--- a/pkg/poison/mark.go
+++ b/pkg/poison/mark.go
@@ -11,12 +11,12 @@
 // request with the fingerprint of another one.
 const markBytes = 16
 
-// Mark is the fingerprint of a request: a hash of its host, target, caller and body. All attempts
+// Fingerprint is the fingerprint of a request: a hash of its host, target, caller and body. All attempts
 // of a request have the same one.
-type Mark [markBytes]byte
+type Fingerprint [markBytes]byte
 
-// MarkOf returns the fingerprint of a request. caller is the workspace, empty on open routes.
-func MarkOf(host, target, caller string, body []byte) Mark {
+// FingerprintOf returns the fingerprint of a request. caller is the workspace, empty on open routes.
+func FingerprintOf(host, target, caller string, body []byte) Fingerprint {
 	sum := sha256.New()
 	for _, text := range []string{strings.ToLower(host), target, caller} {
 		// The length prefix keeps adjacent parts from being confused.
@@ -24,8 +24,8 @@
 		_, _ = sum.Write([]byte(text))
 	}
 	_, _ = sum.Write(body)
-	return Mark(sum.Sum(nil)[:markBytes])
+	return Fingerprint(sum.Sum(nil)[:markBytes])
 }
 
 // String returns the fingerprint in hexadecimal.
-func (mrk Mark) String() string { return hex.EncodeToString(mrk[:]) }
+func (mrk Fingerprint) String() string { return hex.EncodeToString(mrk[:]) }
--- a/pkg/poison/mark_test.go
+++ b/pkg/poison/mark_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-func ExampleMarkOf() {
-	once := MarkOf("desk.example", "/plans/7", "corella", []byte("draft"))
-	again := MarkOf("Desk.Example", "/plans/7", "corella", []byte("draft"))
-	other := MarkOf("desk.example", "/plans/7", "shiretoko", []byte("draft"))
+func ExampleFingerprintOf() {
+	once := FingerprintOf("desk.example", "/plans/7", "corella", []byte("draft"))
+	again := FingerprintOf("Desk.Example", "/plans/7", "corella", []byte("draft"))
+	other := FingerprintOf("desk.example", "/plans/7", "shiretoko", []byte("draft"))
 	fmt.Println(once == again, once == other, len(once.String()))
 	// Output: true false 32
 }
@@ -21,8 +21,8 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		gom := gomega.NewWithT(t)
 		parts := rapid.SliceOfN(rapid.StringMatching(`[a-c/]{0,3}`), 8, 8).Draw(rt, "parts")
-		one := MarkOf(parts[0], parts[1], parts[2], []byte(parts[3]))
-		two := MarkOf(parts[4], parts[5], parts[6], []byte(parts[7]))
+		one := FingerprintOf(parts[0], parts[1], parts[2], []byte(parts[3]))
+		two := FingerprintOf(parts[4], parts[5], parts[6], []byte(parts[7]))
 		same := parts[0] == parts[4] && parts[1] == parts[5] && parts[2] == parts[6] && parts[3] == parts[7]
 		gom.Expect(one == two).To(gomega.Equal(same))
 	})
@@ -34,7 +34,7 @@
 			body := make([]byte, size)
 			bnc.SetBytes(int64(size))
 			for bnc.Loop() {
-				MarkOf("desk.example", "/plans/7", "corella", body)
+				FingerprintOf("desk.example", "/plans/7", "corella", body)
 			}
 		})
 	}
--- a/pkg/poison/size_test.go
+++ b/pkg/poison/size_test.go
@@ -8,9 +8,9 @@
 
 	"amaranthvalve/internal/fleet"
 	"amaranthvalve/pkg/clock"
+	"amaranthvalve/pkg/gossip"
 	"amaranthvalve/pkg/ident"
 	"amaranthvalve/pkg/poison"
-	"amaranthvalve/pkg/rumor"
 )
 
 const (
@@ -46,16 +46,16 @@
 type cluster struct {
 	*fleet.Fleet
 	within     clock.Milli
-	mark       poison.Mark
+	mark       poison.Fingerprint
 	observers  map[*fleet.Instance]*observer
 	sent       []*attempt
 	thirdCrash clock.Milli
-	stored     []rumor.Fact
+	stored     []gossip.Fact
 	storedAt   clock.Milli
 }
 
 func newCluster(count int, within clock.Milli) *cluster {
-	cls := &cluster{within: within, mark: poison.MarkOf("desk.example", "/plan", "corella", []byte("deadly")), observers: map[*fleet.Instance]*observer{}}
+	cls := &cluster{within: within, mark: poison.FingerprintOf("desk.example", "/plan", "corella", []byte("deadly")), observers: map[*fleet.Instance]*observer{}}
 	cls.Fleet = fleet.New(fleet.Setup{Count: count, Lost: 0.05, Seed: uint64(count), Begin: cls.begin})
 	return cls
 }
@@ -64,21 +64,21 @@
 func (cls *cluster) begin(ins *fleet.Instance) {
 	obs := &observer{Instance: ins}
 	cls.observers[ins] = obs
-	ins.Spread().Bound(rumor.EndedUnder, poison.Bounds(func() *poison.List { return obs.lst }))
+	ins.Spread().Bound(gossip.EndedUnder, poison.Bounds(func() *poison.List { return obs.lst }))
 	if cls.Fleet == nil {
 		return
 	}
-	facts := append([]rumor.Fact(nil), cls.stored...)
+	facts := append([]gossip.Fact(nil), cls.stored...)
 	for i := range facts {
 		facts[i].Age += cls.Now() - cls.storedAt
 	}
-	ins.Spread().Told(facts, true, cls.Now())
+	ins.Spread().Receive(facts, true, cls.Now())
 }
 
 // list returns the list of an instance and rebuilds it if its facts have changed.
 func (cls *cluster) list(obs *observer) *poison.List {
 	if digest := obs.Spread().Digest(); digest != obs.digest {
-		obs.lst, obs.digest = poison.Read(obs.Spread().All(rumor.EndedUnder, cls.Now()), cls.Now()), digest
+		obs.lst, obs.digest = poison.Read(obs.Spread().All(gossip.EndedUnder, cls.Now()), cls.Now()), digest
 	}
 	return obs.lst
 }
@@ -100,8 +100,8 @@
 	}
 	for _, ins := range cls.Instances() {
 		if cls.IsCalm(ins, 0) {
-			facts := ins.Spread().All(rumor.EndedUnder, cls.Now())
-			cls.stored, cls.storedAt = poison.Quarantining(facts, cls.list(cls.observers[ins]), 64, 6), cls.Now()
+			facts := ins.Spread().All(gossip.EndedUnder, cls.Now())
+			cls.stored, cls.storedAt = poison.QuarantineFacts(facts, cls.list(cls.observers[ins]), 64, 6), cls.Now()
 			return
 		}
 	}
@@ -117,8 +117,8 @@
 		return
 	}
 	key := poison.Key(cls.mark, ident.Process(fmt.Sprintf("i-%d", i)))
-	if fct, ok := att.by.Spread().Set(rumor.EndedUnder, key, att.by.Who().Addr(), cls.Now()); ok {
-		att.by.Spread().Learned(fct)
+	if fct, ok := att.by.Spread().Set(gossip.EndedUnder, key, att.by.Who().Addr(), cls.Now()); ok {
+		att.by.Spread().Enqueue(fct)
 	}
 }
 
--- a/pkg/retry/retry.go
+++ b/pkg/retry/retry.go
@@ -60,10 +60,10 @@
 // capacity.
 func (bnd Bounds) Idle() bool { return bnd.idle }
 
-// For returns the bounds of a service that favours low cost, or else attainment of its
+// BoundsFor returns the bounds of a service that favours low cost, or else attainment of its
 // targets. With a stage that fails half of its calls, favouring attainment costs a few
 // per cent more endpoint time, see docs/MEASUREMENTS.md.
-func For(weighsCost bool) Bounds {
+func BoundsFor(weighsCost bool) Bounds {
 	if weighsCost {
 		return Bounds{attempts: 3}
 	}
@@ -115,10 +115,10 @@
 	return ranNothing || !nonIdempotent
 }
 
-// After returns a retry-after delay with exponential backoff: base, doubled with each
+// Backoff returns a retry-after delay with exponential backoff: base, doubled with each
 // earlier refusal up to 32 times base. Jitter over the upper half keeps callers that
 // were refused together from returning together.
-func After(base clock.Milli, earlier int, rng *rand.Rand) clock.Milli {
+func Backoff(base clock.Milli, earlier int, rng *rand.Rand) clock.Milli {
 	span := base << min(max(earlier, 0), 5)
 	if span < 2 {
 		return span
@@ -126,8 +126,8 @@
 	return span/2 + clock.Milli(rng.Int64N(int64(span/2)))
 }
 
-// Spread returns a retry-after delay with jitter, from base to twice base, so that
+// Jittered returns a retry-after delay with jitter, from base to twice base, so that
 // callers that were refused together don't return together.
-func Spread(base clock.Milli) clock.Milli {
-	return After(2*base, 0, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+func Jittered(base clock.Milli) clock.Milli {
+	return Backoff(2*base, 0, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 }
--- a/pkg/retry/retry_test.go
+++ b/pkg/retry/retry_test.go
@@ -39,7 +39,7 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	seen := map[clock.Milli]bool{}
 	for range 1000 {
-		span := After(500, 1, rng)
+		span := Backoff(500, 1, rng)
 		if span < 500 || span >= 1000 {
 			t.Fatalf("delay of %d ms is not in [500, 1000)", span)
 		}
--- a/pkg/route/learn.go
+++ b/pkg/route/learn.go
@@ -6,24 +6,24 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// Verdict is the outcome of an attempt with regard to the health of its endpoint.
-type Verdict int
+// Outcome is the outcome of an attempt with regard to the health of its endpoint.
+type Outcome int
 
 // Outcomes of an attempt.
 const (
-	// Good: the endpoint answered, with whatever status.
-	Good Verdict = iota
+	// Success: the endpoint answered, with whatever status.
+	Success Outcome = iota
 	// Overload: the endpoint refused the request or timed out.
 	Overload
-	// Broken: no connection, a broken connection, or a malformed answer.
-	Broken
-	// Neutral: this instance cancelled the attempt, which says nothing about the
+	// Failure: no connection, a broken connection, or a malformed answer.
+	Failure
+	// Cancelled: this instance cancelled the attempt, which says nothing about the
 	// endpoint.
-	Neutral
+	Cancelled
 )
 
 // Finish records the end of an attempt that [Pool.Pick] started.
-func (pl *Pool) Finish(id string, ver Verdict, took, now clock.Milli) {
+func (pl *Pool) Finish(id string, ver Outcome, took, now clock.Milli) {
 	pr, ok := pl.byID[id]
 	if !ok {
 		return
@@ -32,14 +32,14 @@
 	probe := pr.probing
 	pr.probing = false
 	switch ver {
-	case Good:
+	case Success:
 		pl.onSuccess(pr, took, now, probe)
 	case Overload:
 		pr.limiter.Overloaded(now, took)
 		pl.onFailure(pr, now, probe)
-	case Broken:
+	case Failure:
 		pl.onFailure(pr, now, probe)
-	case Neutral:
+	case Cancelled:
 	}
 }
 
--- a/pkg/route/pool.go
+++ b/pkg/route/pool.go
@@ -166,8 +166,8 @@
 	return pl.take(pl.choose(open, ask, now), ask), true
 }
 
-// Room reports whether an endpoint is available, apart from probes.
-func (pl *Pool) Room(ask Ask) bool {
+// Available reports whether an endpoint is available, apart from probes.
+func (pl *Pool) Available(ask Ask) bool {
 	return len(pl.eligible(ask, true)) > 0 || len(pl.eligible(ask, false)) > 0
 }
 
--- a/pkg/route/route_test.go
+++ b/pkg/route/route_test.go
@@ -50,7 +50,7 @@
 				pl.Report(id, rapid.Float64Range(0, 50).Draw(t, "load"), now)
 			case 3:
 				if len(busy) > 0 {
-					ver := Verdict(rapid.IntRange(int(Good), int(Neutral)).Draw(t, "verdict"))
+					ver := Outcome(rapid.IntRange(int(Success), int(Cancelled)).Draw(t, "verdict"))
 					pl.Finish(busy[0], ver, clock.Milli(rapid.IntRange(0, 5000).Draw(t, "took")), now)
 					busy = busy[1:]
 				}
@@ -86,7 +86,7 @@
 				took = slow
 				slowCount++
 			}
-			pl.Finish(ep.ID, Good, took, now)
+			pl.Finish(ep.ID, Success, took, now)
 		}
 		return slowCount
 	}
@@ -119,7 +119,7 @@
 	pl.Sync([]Endpoint{{ID: "engine-1", Addr: "10.0.0.1:8000", Zone: "dc1"}})
 	ep, ok := pl.Pick(Ask{}, 1000)
 	fmt.Println(ep.Addr, ok)
-	pl.Finish(ep.ID, Good, 20, 1020)
+	pl.Finish(ep.ID, Success, 20, 1020)
 	pl.Leave("engine-1")
 	_, ok = pl.Pick(Ask{}, 1030)
 	fmt.Println(ok)
@@ -134,7 +134,7 @@
 	for i := range b.N {
 		ep, ok := pl.Pick(Ask{Prefix: uint64(i%40) + 1}, clock.Milli(i))
 		if ok {
-			pl.Finish(ep.ID, Good, 50, clock.Milli(i))
+			pl.Finish(ep.ID, Success, 50, clock.Milli(i))
 		}
 	}
 }
