--- a/pkg/member/choose.go
+++ b/pkg/member/choose.go
@@ -12,15 +12,15 @@
 	"amaranthvalve/pkg/ident"
 )
 
-// nextTarget goes round the neighbours in a fixed, instance-specific order,
-// which bounds the time until each has been probed (the paper's round robin).
+// nextTarget returns the next neighbour to probe, in a fixed order specific to the
+// instance. The round robin bounds the time until each has been probed, as in the paper.
 func (lst *List) nextTarget() (ident.Incarnation, bool) {
-	if lst.turn >= len(lst.order) {
-		lst.order, lst.turn = lst.Neighbours(), 0
+	if lst.nextIndex >= len(lst.order) {
+		lst.order, lst.nextIndex = lst.Neighbours(), 0
 	}
-	for lst.turn < len(lst.order) {
-		who := lst.order[lst.turn]
-		lst.turn++
+	for lst.nextIndex < len(lst.order) {
+		who := lst.order[lst.nextIndex]
+		lst.nextIndex++
 		if _, waiting := lst.pending[who]; !waiting && lst.IsLive(who) {
 			return who, true
 		}
@@ -28,11 +28,11 @@
 	return "", false
 }
 
-// IsMesh tells whether everybody is a neighbour of everybody.
+// IsMesh reports whether every instance probes every other.
 func (lst *List) IsMesh() bool { return len(lst.members) <= MeshSize }
 
-// Neighbours gives those whom this instance probes: everybody, or Fanout of them in a larger
-// system, in which all are reached from each by neighbours of neighbours.
+// Neighbours returns the members that this instance probes: all of them, or Fanout in a
+// larger system, in which the others are reached through neighbours of neighbours.
 func (lst *List) Neighbours() []ident.Incarnation {
 	var others []ident.Incarnation
 	for who, mbr := range lst.members {
@@ -46,7 +46,7 @@
 	return rank(string(lst.self), others)
 }
 
-// helpers picks those who probe a silent member for us.
+// helpers returns the members that are asked to probe an unresponsive target.
 func (lst *List) helpers(target ident.Incarnation) []ident.Incarnation {
 	var picked []ident.Incarnation
 	for _, who := range lst.Neighbours() {
@@ -57,10 +57,10 @@
 	return picked
 }
 
-// Home gives the live member that looks after a name, by rendezvous hashing
-// (D. Thaler and C. Ravishankar, 1998): a member that goes moves only what it
-// looked after. It spares doubled work and is never trusted for safety.
-func (lst *List) Home(name string) ident.Incarnation {
+// Owner returns the live member that owns a name, by rendezvous hashing (D. Thaler and C.
+// Ravishankar, 1998): when a member ends, only the names that it owned move. It avoids
+// duplicate work and is never trusted for safety.
+func (lst *List) Owner(name string) ident.Incarnation {
 	var serving []ident.Incarnation
 	for who, mbr := range lst.members {
 		if mbr.news.Status == Alive {
@@ -73,17 +73,18 @@
 	return rank(name, serving)[0]
 }
 
-// Homes lists the live members in the order in which they look after a name: the
-// second takes over when the first can't be reached. Members are ranked by weighted
-// rendezvous hashing (J. Mosheyev and others, "Weighted distributed hash tables", 2005,
-// in the form of the logarithmic method), so that one of twice the capacity looks after
-// twice as many names; those below weakBelow of the strongest come last, for a single
-// name may be as much work as they can do at all.
+// Homes returns the live members in the order in which they own a name: the second takes
+// over when the first can't be reached. Members are ranked by weighted rendezvous hashing
+// (J. Mosheyev and others, "Weighted distributed hash tables", 2005, in the form of the
+// logarithmic method), so that a member with twice the capacity owns twice as many names.
+// Members below weakFraction of the largest capacity come last, since a single name may
+// take more work than they can do.
 //
-// What is ranked is the address and not the incarnation, each address once. When all
-// start again at once, an instance knows the addresses within milliseconds and the new
-// incarnations only a second later. Ranked by incarnation, it was alone until then: each
-// of hundreds had pieces made for itself and filled the endpoints for all others.
+// The ranking is by address and not by incarnation, each address once. When all instances
+// restart at once, an instance knows the addresses within milliseconds and the new
+// incarnations only a second later. Ranked by incarnation, each of hundreds of instances
+// considered itself the only owner until then, had items processed for itself and used up
+// the capacity of the endpoints.
 func (lst *List) Homes(name string) []ident.Incarnation {
 	type scored struct {
 		who   ident.Incarnation
@@ -92,12 +93,12 @@
 	}
 	var serving []scored
 	strongest := 0.0
-	for _, mbr := range lst.latest() {
+	for _, mbr := range lst.byAddress() {
 		serving = append(serving, scored{who: mbr.news.Who, cores: mbr.capacity(), score: mbr.score(name)})
 		strongest = max(strongest, mbr.capacity())
 	}
 	slices.SortFunc(serving, func(x, y scored) int {
-		weakX, weakY := x.cores < weakBelow*strongest, y.cores < weakBelow*strongest
+		weakX, weakY := x.cores < weakFraction*strongest, y.cores < weakFraction*strongest
 		switch {
 		case weakX && !weakY:
 			return 1
@@ -115,39 +116,39 @@
 	return whos
 }
 
-// latest gives the live member at each address: of several the one that was heard of
-// last, for the others are of processes that have ended; or the one that was succeeded by a
-// process whose name isn't known yet.
-func (lst *List) latest() map[string]*Member {
+// byAddress returns the live member at each address: the one seen last where there are
+// several, since the others have ended; or one that has been replaced by a process whose
+// incarnation is not known yet.
+func (lst *List) byAddress() map[string]*Member {
 	byAddr := make(map[string]*Member, len(lst.members))
 	for who, mbr := range lst.members {
-		if mbr.news.Status != Alive && !mbr.succeeded {
+		if mbr.news.Status != Alive && !mbr.replaced {
 			continue
 		}
 		cur, ok := byAddr[who.Addr()]
-		if !ok || mbr.after(cur) {
+		if !ok || mbr.supersedes(cur) {
 			byAddr[who.Addr()] = mbr
 		}
 	}
 	return byAddr
 }
 
-// after tells whether a member is rather at an address than another one.
-func (mbr *Member) after(oth *Member) bool {
-	if mbr.succeeded != oth.succeeded {
-		return oth.succeeded
+// supersedes reports whether a member is preferred over another one at the same address.
+func (mbr *Member) supersedes(oth *Member) bool {
+	if mbr.replaced != oth.replaced {
+		return oth.replaced
 	}
-	if mbr.heard != oth.heard {
-		return mbr.heard > oth.heard
+	if mbr.lastSeen != oth.lastSeen {
+		return mbr.lastSeen > oth.lastSeen
 	}
 	return compare(mbr.Who(), oth.Who()) > 0
 }
 
-// weakBelow is the part of the strongest member's capacity below which a member looks
-// after names only when nobody else does.
-const weakBelow = 0.5
+// weakFraction is the fraction of the largest capacity below which a member owns names only
+// if no other member does.
+const weakFraction = 0.5
 
-// capacity gives what a member said of its strength; one that says nothing counts 1.
+// capacity returns the capacity that a member reported, 1 if it reported none.
 func (mbr *Member) capacity() float64 {
 	if mbr.news.Capacity <= 0 {
 		return 1
@@ -155,32 +156,31 @@
 	return mbr.news.Capacity
 }
 
-// score is the member's rank for a name: its capacity over an exponential draw that
-// only the name and the member's address decide.
+// score is the member's rank for a name: its capacity divided by an exponential variate
+// derived from the name and the member's address.
 func (mbr *Member) score(name string) float64 {
 	hash := xxhash.Sum64String(name + "\x00" + mbr.news.Who.Addr())
 	even := (float64(hash>>11) + 0.5) / (1 << 53)
 	return mbr.capacity() / -math.Log(even)
 }
 
-// Rank gives the instance's place among the members in the order of their names,
-// so that they can take turns at what one of them should do.
+// Rank returns the instance's position among the members ordered by identity, so that they
+// can take turns at a task that one of them should do.
 func (lst *List) Rank() int {
-	place := 0
+	pos := 0
 	for who, mbr := range lst.members {
 		if mbr.news.Status != Dead && who < lst.self {
-			place++
+			pos++
 		}
 	}
-	return place
+	return pos
 }
 
-// MostHeard gives an instant since which more than half of the members, the
-// instance itself included, have been heard of; false if not so many ever were.
-// Those taken for dead count among all unless their end is proved: an instance
-// that is cut off takes everybody else for dead after some seconds, and were the
-// dead left out it would find itself to be most of the instances and go by old
-// documents again.
+// MostHeard returns the latest time since which a majority of the members, including the
+// instance itself, has been seen; false if no majority ever was. Members declared dead
+// count towards the total unless their end is proved: a partitioned instance declares all
+// others dead after some seconds, and without them it would form a majority alone and use
+// outdated documents again.
 func (lst *List) MostHeard(now clock.Milli) (since clock.Milli, ok bool) {
 	all := 0
 	var heard []clock.Milli
@@ -193,7 +193,7 @@
 		case mbr.news.Who == lst.self:
 			heard = append(heard, now)
 		case mbr.news.Status != Dead:
-			heard = append(heard, mbr.heard)
+			heard = append(heard, mbr.lastSeen)
 		}
 	}
 	most := all/2 + 1
@@ -204,7 +204,7 @@
 	return heard[len(heard)-most], true
 }
 
-// rank orders members by the hash of name and member, highest first.
+// rank orders members by the hash of the name and the member, highest first.
 func rank(name string, whos []ident.Incarnation) []ident.Incarnation {
 	type scored struct {
 		who   ident.Incarnation
@@ -232,11 +232,11 @@
 
 func compare(x, y ident.Incarnation) int { return strings.Compare(string(x), string(y)) }
 
-// Behind lists the members that may still go by a state older than offset:
-// those not dead which have not reported it, and those taken for dead less
-// than bound after their last sign of life, for they may not know it. Are more
-// than half of all silent, then they may be in touch with one another and go on
-// together; they are listed for as long as they are remembered.
+// Behind returns the members that may still use a state older than offset: those not dead
+// that have not reported it, and those declared dead less than bound after their last sign
+// of life, since they may not have noticed. If at least half of all members are
+// unresponsive, they may be in contact with each other and continue together; they are
+// returned for as long as they are remembered.
 func (lst *List) Behind(offset int64, bound, now clock.Milli) []ident.Incarnation {
 	var late, lost []ident.Incarnation
 	all := 0
@@ -247,7 +247,7 @@
 		}
 		switch {
 		case mbr.news.Applied >= offset || mbr.news.Gone:
-		case !dead || now-mbr.heard < bound:
+		case !dead || now-mbr.lastSeen < bound:
 			late = append(late, who)
 		default:
 			lost = append(lost, who)
@@ -260,8 +260,8 @@
 	return late
 }
 
-// HomeIn gives the live member of a zone that looks after a name, or one of any
-// zone when the zone has none.
+// HomeIn returns the live member of a data centre that owns a name, or one of any data
+// centre if that one has no live member.
 func (lst *List) HomeIn(zone, name string) ident.Incarnation {
 	var serving []ident.Incarnation
 	for who, mbr := range lst.members {
@@ -270,7 +270,7 @@
 		}
 	}
 	if len(serving) == 0 {
-		return lst.Home(name)
+		return lst.Owner(name)
 	}
 	return rank(name, serving)[0]
 }
--- a/pkg/member/member.go
+++ b/pkg/member/member.go
@@ -10,7 +10,7 @@
 
 //go:generate go tool stringer -type=Status -linecomment -output=status_string.go
 
-// Status is what is believed of a member.
+// Status is the believed state of a member.
 type Status int
 
 // The statuses, in the order in which they override one another at the same
@@ -24,102 +24,105 @@
 
 // Protocol constants.
 const (
-	// Period is the time between two probes of one instance; above MeshSize it
-	// is twice that, for a probe with its answer is 1.3 KB on the wire, and an
-	// instance is probed as often as it probes.
+	// Period is the interval between probes sent by one instance. Above MeshSize it is
+	// doubled: a probe with its acknowledgement takes 1.3 KB on the wire, and an instance
+	// is probed as often as it probes.
 	Period = clock.Second
-	// AckWait is how long a direct probe may take.
+	// AckWait is the timeout of a direct probe.
 	AckWait = 300 * clock.Milli(1)
-	// SuspectFor is how long a suspected member may clear itself.
+	// SuspectFor is how long a suspected member may refute the suspicion.
 	SuspectFor = 3 * clock.Second
-	// ForgetAfter is how long a member that is proved to have ended is
-	// remembered, so that late news can't bring it back. One that is only
-	// silent is remembered until the platform takes it off its list: it may be
-	// cut off, and a publisher must count on it.
+	// ForgetAfter is the retention of a member that is proved to have ended, so that stale
+	// updates can't bring it back. A member that is only unresponsive is kept until the
+	// platform removes it from its list: it may be partitioned, and a publisher must take
+	// it into account.
 	ForgetAfter = 10 * clock.Minute
-	// SucceedFor is how long the name of who succeeded a member at its address may be
-	// unknown while the address looks after names as before. When all restart at once, ends
-	// are told faster than names.
-	SucceedFor = 3 * clock.Second
-	// IndirectProbes is how many others are asked to probe for us.
+	// ReplacedFor is how long an address keeps the names that it owns while the incarnation
+	// that replaced its process is unknown. When all instances restart at once, ends spread
+	// faster than new incarnations.
+	ReplacedFor = 3 * clock.Second
+	// IndirectProbes is the number of instances asked to probe a target indirectly.
 	IndirectProbes = 3
-	// MeshSize is the number of members up to which everybody is probed.
+	// MeshSize is the largest number of members at which every instance probes every other.
 	MeshSize = 16
-	// Fanout is how many neighbours are probed above that.
+	// Fanout is the number of neighbours that are probed above MeshSize.
 	Fanout = 8
-	// MaxNews is how many items ride on one message, and MaxEnded how many names of
-	// ended members beside them: when all instances restart at once, each must hear of
-	// as many ends as there are members, and until then counts the dead among the living.
+	// MaxNews is the maximum number of updates in a message, and MaxEnded that of
+	// additional names of ended members. After a simultaneous restart as many ends as there
+	// are members have to reach each instance, which counts the ended ones as live until
+	// then.
 	MaxNews  = 6
 	MaxEnded = 24
-	// When a member came, left or ended, SpreadEach probes more are sent, SpreadGap
-	// apart, so that the news is everywhere within a second: three more hear of it from
-	// each, 86 members in four rounds. With usual probes alone it takes a quarter of a
-	// minute. In the long run such probes come no more often than one in SpreadPeriod,
-	// with spreadMost at once.
-	SpreadEach   = 3
-	SpreadGap    = 100 * clock.Milli(1)
-	SpreadPeriod = clock.Second
-	spreadMost   = 6.0
+	// When a member joins, leaves or ends, ExtraProbes additional probes are sent,
+	// ExtraProbeGap apart, so that the update reaches all instances within a second: each
+	// passes it on to three more, 86 members in four rounds. Regular probes alone take a
+	// quarter of a minute. The long-term rate of additional probes is one per
+	// ExtraProbePeriod, with bursts of extraProbeBurst.
+	ExtraProbes      = 3
+	ExtraProbeGap    = 100 * clock.Milli(1)
+	ExtraProbePeriod = clock.Second
+	extraProbeBurst  = 6.0
 )
 
-// News is one item about a member, as it travels between instances.
+// News is an update about one member as instances exchange it.
 type News struct {
 	Who    ident.Incarnation `cbor:"1,keyasint"`
 	Zone   string            `cbor:"2,keyasint"`
 	Caller string            `cbor:"3,keyasint"`
 	Seq    uint64            `cbor:"4,keyasint"`
 	Status Status            `cbor:"5,keyasint"`
-	// Applied is what the member has applied of the documents' stream, and
-	// Beat grows with each period of it; both only grow.
+	// Applied is the offset of the documents' stream that the member has applied, Beat the
+	// number of its periods. Neither decreases.
 	Applied int64  `cbor:"6,keyasint"`
 	Beat    uint64 `cbor:"7,keyasint"`
-	// Load is the requests under way at the member.
+	// Load is the number of requests in flight at the member.
 	Load int `cbor:"8,keyasint"`
-	// Stale tells that the member may go by old documents; callers are sent to
-	// others while there are any.
+	// Stale reports that the member's documents may be out of date; callers are directed to
+	// other members while there are any.
 	Stale bool `cbor:"9,keyasint,omitempty"`
-	// Capacity is how strong the member is, in cores; zero counts 1.
+	// Capacity is the CPU capacity of the member in cores; zero counts as 1.
 	Capacity float64 `cbor:"10,keyasint,omitempty"`
-	// Gone tells that the member is proved to have ended, not merely silent.
+	// Gone reports that the member is proved to have ended and is not merely unresponsive.
 	Gone bool `cbor:"11,keyasint,omitempty"`
 }
 
-// Member is what is known of one instance.
+// Member is the known state of one instance.
 type Member struct {
-	news  News
-	heard clock.Milli
-	since clock.Milli
-	told  int
-	// succeeded tells that another process is at its address, for some time.
-	succeeded bool
+	news News
+	// lastSeen is the time of the last sign of life, changedAt that of the last change of status.
+	lastSeen  clock.Milli
+	changedAt clock.Milli
+	// sends counts the messages that carried the latest update about the member.
+	sends int
+	// replaced reports that another process is at the address; cleared after ReplacedFor.
+	replaced bool
 }
 
-// Who gives the member's identity.
+// Who returns the member's identity.
 func (mbr Member) Who() ident.Incarnation { return mbr.news.Who }
 
-// Zone gives the member's data centre.
+// Zone returns the member's data centre.
 func (mbr Member) Zone() string { return mbr.news.Zone }
 
-// Caller gives the address on which it serves callers.
+// Caller returns the address on which the member serves callers.
 func (mbr Member) Caller() string { return mbr.news.Caller }
 
-// Status gives what is believed of it.
+// Status returns the member's believed state.
 func (mbr Member) Status() Status { return mbr.news.Status }
 
-// Applied gives what it said it has applied of the documents' stream.
+// Applied returns the offset of the documents' stream that the member reported as applied.
 func (mbr Member) Applied() int64 { return mbr.news.Applied }
 
-// Load gives the requests that it said were under way.
+// Load returns the number of requests in flight that the member reported.
 func (mbr Member) Load() int { return mbr.news.Load }
 
-// Stale tells that the member said it may go by old documents.
+// Stale reports whether the member declared that its documents may be out of date.
 func (mbr Member) Stale() bool { return mbr.news.Stale }
 
-// Heard gives the instant of the last sign of life, direct or by others.
-func (mbr Member) Heard() clock.Milli { return mbr.heard }
+// Heard returns the time of the last sign of life, received directly or through others.
+func (mbr Member) Heard() clock.Milli { return mbr.lastSeen }
 
-// ActionKind tells what an [Action] asks for.
+// ActionKind is the kind of an [Action].
 type ActionKind int
 
 // The kinds of action.
@@ -128,74 +131,77 @@
 	SendIndirect
 )
 
-// Action is what the caller must do: probe a member, or ask Via to probe it.
+// Action is a message for the caller to send: a probe of Target, or a request to Via to
+// probe Target.
 type Action struct {
 	Kind   ActionKind
 	Target ident.Incarnation
 	Via    ident.Incarnation
 }
 
-// List is the membership as one instance sees it. Its zero value is not
-// usable; see [New]. The control thread owns it.
+// List is the membership as one instance sees it. Its zero value is not usable; see [New].
+// It is owned by the control loop.
 type List struct {
-	self    ident.Incarnation
-	members map[ident.Incarnation]*Member
-	order   []ident.Incarnation
-	turn    int
-	pending map[ident.Incarnation]pending
-	due     clock.Milli
-	// spread is how many probes more are to be sent for news, allowed how many may be,
-	// as of allowedAt; after spreadDue.
-	spread    int
-	allowed   float64
-	allowedAt clock.Milli
-	spreadDue clock.Milli
-	// changes counts what All and Homes follow from, signs of life and loads left out.
+	self        ident.Incarnation
+	members     map[ident.Incarnation]*Member
+	order       []ident.Incarnation
+	nextIndex   int
+	pending     map[ident.Incarnation]pending
+	nextProbeAt clock.Milli
+	// extraProbes is the number of additional probes still to send, not before nextExtraAt.
+	// extraBudget is the number that may be sent, as of extraBudgetAt.
+	extraProbes   int
+	extraBudget   float64
+	extraBudgetAt clock.Milli
+	nextExtraAt   clock.Milli
+	// changes counts changes of the state from which All and Homes follow; signs of life
+	// and loads are not counted.
 	changes uint64
 }
 
 type pending struct {
 	sent     clock.Milli
 	indirect bool
-	// doubted tells that the member gave no answer to something else before.
-	doubted bool
+	// requested reports that the probe was requested because the member did not answer a
+	// request.
+	requested bool
 }
 
-// New returns the list of an instance that knows only itself.
+// New returns the list of an instance that knows no other instance.
 func New(self ident.Incarnation, zone, caller string, now clock.Milli) *List {
 	lst := &List{
 		self: self, members: map[ident.Incarnation]*Member{}, pending: map[ident.Incarnation]pending{},
-		allowed: spreadMost, allowedAt: now,
+		extraBudget: extraProbeBurst, extraBudgetAt: now,
 	}
-	lst.members[self] = &Member{news: News{Who: self, Zone: zone, Caller: caller, Seq: 1}, heard: now, since: now}
+	lst.members[self] = &Member{news: News{Who: self, Zone: zone, Caller: caller, Seq: 1}, lastSeen: now, changedAt: now}
 	return lst
 }
 
-// Self gives the instance's own identity.
+// Self returns the instance's own identity.
 func (lst *List) Self() ident.Incarnation { return lst.self }
 
-// SetSelf notes what the instance tells of itself; leaving can't be undone.
+// SetSelf sets what the instance reports of itself; leaving can't be undone.
 func (lst *List) SetSelf(applied int64, load int, leaving bool, now clock.Milli) {
 	me := lst.members[lst.self]
 	me.news.Applied = max(me.news.Applied, applied)
 	me.news.Load = load
-	me.heard = now
+	me.lastSeen = now
 	if leaving && me.news.Status == Alive {
 		me.news.Status = Leaving
 		me.news.Seq++
-		me.told = 0
+		me.sends = 0
 		lst.changes++
-		lst.spread = SpreadEach
+		lst.extraProbes = ExtraProbes
 	}
 }
 
-// SetCapacity notes how strong the instance is, in cores.
+// SetCapacity sets the instance's own capacity in cores.
 func (lst *List) SetCapacity(cores float64) {
 	lst.members[lst.self].news.Capacity = cores
 	lst.changes++
 }
 
-// SetStale notes whether the instance's own documents may be old.
+// SetStale sets whether the instance's own documents may be out of date.
 func (lst *List) SetStale(stale bool) {
 	if me := lst.members[lst.self]; me.news.Stale != stale {
 		me.news.Stale = stale
@@ -203,11 +209,11 @@
 	}
 }
 
-// Changes grows whenever a member comes or goes or its status, strength or staleness
-// changes. While it stays the same, whatever follows from who is there does too.
+// Changes increases whenever a member joins or ends or its status, capacity or staleness
+// changes. While it is unchanged, so is everything derived from the membership.
 func (lst *List) Changes() uint64 { return lst.changes }
 
-// Find gives what is known of a member.
+// Find returns the known state of a member.
 func (lst *List) Find(who ident.Incarnation) (Member, bool) {
 	mbr, ok := lst.members[who]
 	if !ok {
@@ -216,8 +222,8 @@
 	return *mbr, true
 }
 
-// All gives every member that is not dead, the instance itself included, in
-// the order of their names.
+// All returns every member that is not dead, including the instance itself, ordered by
+// identity.
 func (lst *List) All() []Member {
 	var all []Member
 	for _, mbr := range lst.members {
@@ -229,14 +235,14 @@
 	return all
 }
 
-// IsLive tells whether a member may still act: alive, leaving or suspected.
-// One that was never heard of is not live.
+// IsLive reports whether a member may still act: alive, leaving or suspected. An unknown
+// member is not live.
 func (lst *List) IsLive(who ident.Incarnation) bool {
 	mbr, ok := lst.members[who]
 	return ok && mbr.news.Status != Dead
 }
 
-// Learn takes news from another instance and tells whether any of it was new.
+// Learn merges updates from another instance and reports whether any of them was new.
 func (lst *List) Learn(items []News, now clock.Milli) bool {
 	changed := false
 	for _, item := range items {
@@ -252,13 +258,13 @@
 	cur, ok := lst.members[item.Who]
 	switch {
 	case ok && cur.news.Gone:
-		// Proved to have ended; late news of it is only late.
+		// Proved to have ended; any further update is stale.
 		return false
 	case item.Gone || item.Who.Addr() == lst.self.Addr():
-		// Nobody else can be at our own address: whoever was there has ended. The
-		// others hear it from us; left to find out by probing, hundreds that were
-		// all restarted at once counted those before them among the living for half
-		// a minute, and agreed on nothing that follows from who is alive.
+		// No other process can be at this instance's own address, so that the one listed
+		// there has ended. The end is spread from here: when hundreds of instances
+		// restarted at once and found the ended ones by probing alone, they counted them as
+		// live for half a minute and did not agree on any owner.
 		lst.End(item.Who, now)
 		return true
 	case !ok:
@@ -267,31 +273,31 @@
 	}
 	fresh := item.Beat > cur.news.Beat
 	if fresh {
-		// The member itself took another turn since we last heard of it.
+		// The member has completed another period since the last update.
 		if cur.news.Stale != item.Stale || cur.news.Capacity != item.Capacity {
 			lst.changes++
 		}
 		cur.news.Beat, cur.news.Load, cur.news.Stale = item.Beat, item.Load, item.Stale
 		cur.news.Capacity = item.Capacity
-		cur.heard = now
+		cur.lastSeen = now
 	}
 	cur.news.Applied = max(cur.news.Applied, item.Applied)
 	if !overrides(item, cur.news) {
 		return fresh
 	}
 	if item.Status != cur.news.Status && item.Status != Suspect && cur.news.Status != Suspect {
-		lst.spread = SpreadEach
+		lst.extraProbes = ExtraProbes
 	}
 	cur.news.Seq, cur.news.Status = item.Seq, item.Status
-	cur.since, cur.told = now, 0
+	cur.changedAt, cur.sends = now, 0
 	lst.changes++
 	return true
 }
 
-// overrides is the paper's rule: a higher sequence number wins, at the same one
-// the worse status does. Unlike in the paper a member taken for dead may refute
-// that too: when a cut between regions heals, each side takes the other for
-// dead, and were that final the system would stay in two halves for good.
+// overrides implements the precedence rule of the paper: the higher sequence number wins,
+// and the worse status at the same one. Unlike in the paper, a member declared dead may
+// refute that too: after a partition between regions heals, each side has declared the
+// other dead, and if that were final the system would stay split.
 func overrides(item, cur News) bool {
 	if item.Seq != cur.Seq {
 		return item.Seq > cur.Seq
@@ -299,44 +305,44 @@
 	return item.Status > cur.Status
 }
 
-// refute answers a suspicion of ourselves with a higher sequence number.
-// Without it a member whose acknowledgement was lost is thrown out while it
-// serves, and its callers' keys are declared unknown.
+// refute answers a suspicion of this instance with a higher sequence number. Otherwise a
+// member whose acknowledgement was lost would be removed while it serves, and the keys that
+// it holds would be answered as unknown.
 func (lst *List) refute(item News) bool {
 	me := lst.members[lst.self]
 	if item.Status <= Leaving || item.Seq < me.news.Seq {
 		return false
 	}
 	me.news.Seq = item.Seq + 1
-	me.told = 0
+	me.sends = 0
 	return true
 }
 
-// add takes in a member that was not known. An older incarnation at the same
-// address is left alone: news of it may be the later of the two, and the next
-// probe of that address tells for certain which one is there (see Drop).
+// add adds an unknown member. An older incarnation at the same address is kept: an update
+// about it may be the more recent of the two, and the next probe of the address proves
+// which one is there (see Drop).
 func (lst *List) add(item News, now clock.Milli) {
-	lst.members[item.Who] = &Member{news: item, heard: now, since: now}
-	lst.spread = SpreadEach
+	lst.members[item.Who] = &Member{news: item, lastSeen: now, changedAt: now}
+	lst.extraProbes = ExtraProbes
 	lst.changes++
 }
 
 func (lst *List) kill(mbr *Member, now clock.Milli) {
 	mbr.news.Status = Dead
-	mbr.since, mbr.told = now, 0
+	mbr.changedAt, mbr.sends = now, 0
 	lst.changes++
 }
 
-// Tick makes time pass: suspicions mature, the dead are forgotten, and once a
-// period a member is probed.
+// Tick advances the protocol to the given time: it expires suspicions, removes ended
+// members and probes one member per period.
 func (lst *List) Tick(now clock.Milli) []Action {
-	lst.age(now)
-	actions := lst.lateProbes(now)
+	lst.expire(now)
+	actions := lst.overdueProbes(now)
 	switch {
-	case now >= lst.due:
-		lst.due = now + lst.period()
+	case now >= lst.nextProbeAt:
+		lst.nextProbeAt = now + lst.period()
 		lst.members[lst.self].news.Beat++
-	case !lst.spreads(now):
+	case !lst.takeExtraProbe(now):
 		return actions
 	}
 	if target, ok := lst.nextTarget(); ok {
@@ -346,16 +352,16 @@
 	return actions
 }
 
-// spreads tells whether a probe is to be sent now for the news that it carries.
-func (lst *List) spreads(now clock.Milli) bool {
-	lst.allowed = min(lst.allowed+float64(now-lst.allowedAt)/float64(SpreadPeriod), spreadMost)
-	lst.allowedAt = now
-	if lst.spread == 0 || lst.allowed < 1 || now < lst.spreadDue {
+// takeExtraProbe reports whether an additional probe is to be sent now, and counts it.
+func (lst *List) takeExtraProbe(now clock.Milli) bool {
+	lst.extraBudget = min(lst.extraBudget+float64(now-lst.extraBudgetAt)/float64(ExtraProbePeriod), extraProbeBurst)
+	lst.extraBudgetAt = now
+	if lst.extraProbes == 0 || lst.extraBudget < 1 || now < lst.nextExtraAt {
 		return false
 	}
-	lst.spread--
-	lst.allowed--
-	lst.spreadDue = now + SpreadGap
+	lst.extraProbes--
+	lst.extraBudget--
+	lst.nextExtraAt = now + ExtraProbeGap
 	return true
 }
 
@@ -366,42 +372,42 @@
 	return Period
 }
 
-func (lst *List) age(now clock.Milli) {
+func (lst *List) expire(now clock.Milli) {
 	for who, mbr := range lst.members {
 		switch {
-		case mbr.news.Status == Suspect && now-max(mbr.since, mbr.heard) >= SuspectFor:
-			// A sign of life since the suspicion, direct or passed on, puts
-			// the end off: where a fifth of the messages is lost, a refutation
-			// often takes longer than SuspectFor, and members that served well
-			// were taken for dead.
+		case mbr.news.Status == Suspect && now-max(mbr.changedAt, mbr.lastSeen) >= SuspectFor:
+			// A sign of life since the suspicion, direct or through others, postpones the
+			// expiry: with a fifth of the messages lost, a refutation often takes longer
+			// than SuspectFor, and healthy members were declared dead.
 			lst.kill(mbr, now)
-		case mbr.news.Gone && now-mbr.since >= ForgetAfter:
+		case mbr.news.Gone && now-mbr.changedAt >= ForgetAfter:
 			delete(lst.members, who)
 			lst.changes++
-		case mbr.succeeded && now-mbr.since >= SucceedFor:
-			mbr.succeeded = false
+		case mbr.replaced && now-mbr.changedAt >= ReplacedFor:
+			mbr.replaced = false
 			lst.changes++
 		}
 	}
 }
 
-// lateProbes asks others to probe what did not answer us, then suspects it.
-func (lst *List) lateProbes(now clock.Milli) []Action {
+// overdueProbes starts indirect probes of members that did not acknowledge a direct one,
+// and suspects those that did not acknowledge either.
+func (lst *List) overdueProbes(now clock.Milli) []Action {
 	var actions []Action
 	for _, target := range slices.Sorted(maps.Keys(lst.pending)) {
 		pnd := lst.pending[target]
 		switch {
 		case !pnd.indirect && now-pnd.sent >= AckWait:
-			lst.pending[target] = pending{sent: pnd.sent, indirect: true, doubted: pnd.doubted}
+			lst.pending[target] = pending{sent: pnd.sent, indirect: true, requested: pnd.requested}
 			for _, via := range lst.helpers(target) {
 				actions = append(actions, Action{Kind: SendIndirect, Target: target, Via: via})
 			}
 		case now-pnd.sent >= Period:
 			delete(lst.pending, target)
 			lst.suspect(target, now)
-			if pnd.doubted {
-				// The others are about to ask it too.
-				lst.spread = SpreadEach
+			if pnd.requested {
+				// Other instances are about to send requests to it too.
+				lst.extraProbes = ExtraProbes
 			}
 		}
 	}
@@ -412,42 +418,41 @@
 	mbr, ok := lst.members[who]
 	if ok && mbr.news.Status <= Leaving {
 		mbr.news.Status = Suspect
-		mbr.since, mbr.told = now, 0
+		mbr.changedAt, mbr.sends = now, 0
 		lst.changes++
 	}
 }
 
-// Doubt asks for a probe of a member that gave no answer when it was asked for something.
-// It is suspected a period later unless it answers. By turn it is probed once in some
-// seconds; meanwhile each request that needs it waits in vain and goes elsewhere, and
-// where most instances lost power together every pool of endpoints is looked after by
-// many at once.
+// Doubt returns a probe of a member that did not answer a request; unless the member
+// acknowledges it, it is suspected one period later. Regular probes reach a member only
+// every few seconds. Until then each request that needs it would time out first, and after
+// a power failure of most instances every pool would have several coordinators at once.
 func (lst *List) Doubt(who ident.Incarnation, now clock.Milli) (Action, bool) {
 	if _, waiting := lst.pending[who]; waiting || who == lst.self || !lst.IsLive(who) {
 		return Action{}, false
 	}
-	lst.pending[who] = pending{sent: now, doubted: true}
+	lst.pending[who] = pending{sent: now, requested: true}
 	return Action{Kind: SendProbe, Target: who}, true
 }
 
-// Ack notes that a member answered a probe, ours or one made for us.
+// Ack records that a member acknowledged a direct or indirect probe.
 func (lst *List) Ack(who ident.Incarnation, now clock.Milli) {
 	delete(lst.pending, who)
 	if mbr, ok := lst.members[who]; ok && mbr.news.Status != Dead {
-		mbr.heard = now
+		mbr.lastSeen = now
 	}
 }
 
-// Drop notes that an address answered as another incarnation, so that this one
-// is gone for certain.
+// Drop records that another incarnation answered at the member's address, which proves that
+// the member has ended.
 func (lst *List) Drop(who ident.Incarnation, now clock.Milli) {
 	if _, ok := lst.members[who]; ok {
 		lst.End(who, now)
 	}
 }
 
-// End notes that a member is proved to have ended, also one that was not known, so that
-// late news doesn't make it one. It is passed on.
+// End records that a member is proved to have ended, including an unknown one, so that
+// stale updates can't add it. The end is spread to the other instances.
 func (lst *List) End(who ident.Incarnation, now clock.Milli) {
 	if who == lst.self {
 		return
@@ -455,28 +460,28 @@
 	delete(lst.pending, who)
 	mbr, ok := lst.members[who]
 	if !ok {
-		mbr = &Member{news: News{Who: who}, heard: now}
+		mbr = &Member{news: News{Who: who}, lastSeen: now}
 		lst.members[who] = mbr
 	}
 	if !mbr.news.Gone {
-		// The end is proved by whoever is at the address now.
-		mbr.succeeded = ok
+		// The end is proved by the process that is at the address now.
+		mbr.replaced = ok
 		mbr.news.Gone = true
 		lst.kill(mbr, now)
-		lst.spread = SpreadEach
+		lst.extraProbes = ExtraProbes
 	}
 }
 
-// Delist notes that the platform has taken a member that is already taken for
-// dead off its instance list: the silent process has ended for certain.
+// Delist records that the platform has removed a member declared dead from its instance
+// list, which proves that its process has ended.
 func (lst *List) Delist(who ident.Incarnation) {
 	if mbr, ok := lst.members[who]; ok && mbr.news.Status == Dead {
 		mbr.news.Gone = true
 	}
 }
 
-// Dead lists the members taken for dead whose end is not proved. They are
-// greeted while the platform lists them, for they may be cut off and not dead.
+// Dead returns the members declared dead whose end is not proved. They are probed while the
+// platform lists them, since they may be partitioned.
 func (lst *List) Dead() []ident.Incarnation {
 	var dead []ident.Incarnation
 	for who, mbr := range lst.members {
@@ -488,8 +493,9 @@
 	return dead
 }
 
-// Everybody gives the news of all members, for an instance that knows few: told some at a
-// time it would rank the wrong ones for a quarter of a minute.
+// Everybody returns the updates about all members, for an instance that knows few. Limited
+// to the usual number in a message, the instance would rank the wrong owners for a quarter
+// of a minute.
 func (lst *List) Everybody() []News {
 	all := make([]News, 0, len(lst.members))
 	for _, mbr := range lst.members {
@@ -499,10 +505,10 @@
 	return all
 }
 
-// Gossip gives the news for the next message to a member: the instance's own, a
-// suspicion of the receiver, so that it can clear itself at once, then what was
-// told the fewest times, and beside that the names of ended members. Each item is told
-// to about 3·log2(n) others.
+// Gossip returns the updates for the next message to a member: the instance's own, a
+// suspicion of the receiver so that it can refute it at once, the least sent ones, and in
+// addition names of ended members. An update of a dead member is sent about 3·log2(n)
+// times.
 func (lst *List) Gossip(to ident.Incarnation) []News {
 	items := []News{lst.members[lst.self].news}
 	if mbr, ok := lst.members[to]; ok && mbr.news.Status >= Suspect {
@@ -512,33 +518,34 @@
 	var rest, ended []*Member
 	for who, mbr := range lst.members {
 		switch {
-		case who == lst.self || who == to || mbr.told >= most && mbr.news.Status == Dead:
+		case who == lst.self || who == to || mbr.sends >= most && mbr.news.Status == Dead:
 		case mbr.news.Gone:
 			ended = append(ended, mbr)
 		default:
 			rest = append(rest, mbr)
 		}
 	}
-	for _, mbr := range leastTold(rest, MaxNews-1) {
+	for _, mbr := range leastSent(rest, MaxNews-1) {
 		items = append(items, mbr.news)
 	}
-	for _, mbr := range leastTold(ended, MaxEnded) {
+	for _, mbr := range leastSent(ended, MaxEnded) {
 		items = append(items, News{Who: mbr.news.Who, Status: Dead, Gone: true})
 	}
 	return items
 }
 
-// leastTold gives the members that were told the fewest times, and counts them as told.
-func leastTold(list []*Member, most int) []*Member {
+// leastSent returns the members whose updates were sent the fewest times, and counts them
+// as sent.
+func leastSent(list []*Member, most int) []*Member {
 	slices.SortFunc(list, func(x, y *Member) int {
-		if x.told != y.told {
-			return x.told - y.told
+		if x.sends != y.sends {
+			return x.sends - y.sends
 		}
 		return compare(x.Who(), y.Who())
 	})
 	list = list[:min(len(list), most)]
 	for _, mbr := range list {
-		mbr.told++
+		mbr.sends++
 	}
 	return list
 }
--- a/pkg/member/member_test.go
+++ b/pkg/member/member_test.go
@@ -15,8 +15,8 @@
 
 func TestMain(m *testing.M) { golden.Main(m) }
 
-// group is a set of lists that exchange messages in memory, in fake time. drop
-// tells which messages are lost.
+// group is a set of lists that exchange messages in memory, in fake time. drop reports
+// which messages are lost.
 type group struct {
 	now   clock.Milli
 	lists map[ident.Incarnation]*List
@@ -38,7 +38,7 @@
 func (grp *group) add(who ident.Incarnation) *List {
 	lst := New(who, "dc1", who.Addr(), grp.now)
 	for oth, known := range grp.lists {
-		// A newcomer greets those that the instance list names.
+		// A new instance probes the instances on the instance list.
 		lst.Learn(known.Gossip(who), grp.now)
 		grp.lists[oth].Learn(lst.Gossip(oth), grp.now)
 	}
@@ -46,23 +46,24 @@
 	return lst
 }
 
-// probe carries a probe and its answer; it tells whether the answer came.
+// probe delivers a probe and its acknowledgement; it reports whether the acknowledgement
+// arrived.
 func (grp *group) probe(from, to ident.Incarnation) bool {
 	target, ok := grp.lists[to]
 	if !ok || grp.drop(from, to) {
 		return false
 	}
 	target.Learn(grp.lists[from].Gossip(to), grp.now)
-	news := target.Gossip(from)
+	updates := target.Gossip(from)
 	if grp.drop(to, from) {
 		return false
 	}
-	grp.lists[from].Learn(news, grp.now)
+	grp.lists[from].Learn(updates, grp.now)
 	grp.lists[from].Ack(to, grp.now)
 	return true
 }
 
-// run lets time pass in steps of 50 ms.
+// run advances the time in steps of 50 ms.
 func (grp *group) run(span clock.Milli) {
 	for end := grp.now + span; grp.now < end; grp.now += 50 {
 		for i := range len(grp.lists) + 10 {
@@ -86,9 +87,9 @@
 	}
 }
 
-// TestDeadIsFound: one of nine instances dies. All others take it for dead
-// within seconds, and nobody else is taken for dead.
-func TestDeadIsFound(t *testing.T) {
+// TestDeadMemberIsDetected: one of nine instances ends. All others declare it dead within
+// seconds, and no other member.
+func TestDeadMemberIsDetected(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	grp := newGroup(9)
 	grp.run(3 * clock.Second)
@@ -100,9 +101,9 @@
 	}
 }
 
-// TestLossIsNotDeath: a fifth of all messages is lost for a minute. Suspected
-// members clear themselves, and nobody alive is taken for dead.
-func TestLossIsNotDeath(t *testing.T) {
+// TestMessageLossKillsNoLiveMember: a fifth of all messages is lost for a minute. Suspected
+// members refute the suspicion, and no live member is declared dead.
+func TestMessageLossKillsNoLiveMember(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	rng := rand.New(rand.NewPCG(1, 2))
 	grp := newGroup(9)
@@ -113,10 +114,10 @@
 	}
 }
 
-// TestAddressIsReused: an instance dies and another starts at its address with
-// a new incarnation. Late news of the old one must not bring it back, nor take
-// the new one out.
-func TestAddressIsReused(t *testing.T) {
+// TestReusedAddress: an instance ends and another one starts at its address with a new
+// incarnation. Stale updates about the old one must neither bring it back nor remove the
+// new one.
+func TestReusedAddress(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	grp := newGroup(3)
 	grp.run(3 * clock.Second)
@@ -130,23 +131,23 @@
 	gom.Expect(lst.IsLive("10.0.0.1:1#b")).To(gomega.BeTrue())
 }
 
-// TestRestartOfAll: 71 instances lost power and start again, each with a new name. The
-// platform's list still has those before them, so that everybody takes them for alive.
-// Each new instance knows that nobody else is at its own address, and tells. Found out by
-// probes alone two thirds of the dead were still taken for alive after 20 s, and several
-// instances looked after the same thing.
-func TestRestartOfAll(t *testing.T) {
+// TestSimultaneousRestart: 71 instances restart after a power failure, each with a new
+// incarnation. The platform's list still has the old ones, so that all are counted as live
+// at first. Each new instance knows that no other process is at its own address, and
+// spreads that. Detected by probes alone, two thirds of the ended ones were still counted
+// as live after 20 s, and several instances owned the same name.
+func TestSimultaneousRestart(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	const count = 71
 	grp := &group{now: 1000, lists: map[ident.Incarnation]*List{}, drop: func(_, _ ident.Incarnation) bool { return false }}
-	var news []News
+	var updates []News
 	for i := range count {
 		old := ident.Incarnation(fmt.Sprintf("10.0.0.%d:1#old", i))
-		news = append(news, News{Who: old, Seq: 1, Beat: 50}, News{Who: name(i), Seq: 1})
+		updates = append(updates, News{Who: old, Seq: 1, Beat: 50}, News{Who: name(i), Seq: 1})
 	}
 	for i := range count {
 		lst := New(name(i), "dc1", name(i).Addr(), grp.now)
-		lst.Learn(news, grp.now)
+		lst.Learn(updates, grp.now)
 		grp.lists[name(i)] = lst
 	}
 	grp.run(40 * clock.Second)
@@ -156,8 +157,8 @@
 	}
 }
 
-// replaceSome ends the first count members of a group, and starts another at the address of
-// each, which greets two of the others.
+// replaceSome ends the first count members of a group and starts another one at each of
+// their addresses, which probes two of the others.
 func replaceSome(grp *group, count, all int) {
 	for i := range count {
 		delete(grp.lists, name(i))
@@ -173,11 +174,11 @@
 	}
 }
 
-// TestNewsTravelsFast: fifteen of 86 instances are killed and start again, with the store
-// out of reach. A moment later all know who came and who ended. With news on probes every
-// other second alone it took a quarter of a minute, in which instances ranked different
-// members, and two of them gathered the same pool.
-func TestNewsTravelsFast(t *testing.T) {
+// TestUpdatesSpreadFast: fifteen of 86 instances are killed and restarted while the store
+// is unavailable. Within seconds all instances know which ones joined and ended. With
+// updates on regular probes alone it took a quarter of a minute, in which instances ranked
+// different members and two of them coordinated the same pool.
+func TestUpdatesSpreadFast(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	const all, some = 86, 15
 	grp := newGroup(all)
@@ -198,9 +199,9 @@
 	gom.Expect(unknown).To(gomega.BeNumerically("<", some*all/5), "of %d", 2*some*all)
 }
 
-// TestNewsIsBounded: members come and go without end. What an instance sends beyond its
-// usual probes is bounded all the same.
-func TestNewsIsBounded(t *testing.T) {
+// TestExtraProbesAreBounded: members join and end continuously. The number of additional
+// probes that an instance sends stays bounded.
+func TestExtraProbesAreBounded(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	lst := New("a:1#1", "dc1", "", 0)
 	probes := 0
@@ -214,14 +215,14 @@
 			}
 		}
 	}
-	gom.Expect(probes).To(gomega.BeNumerically("<=", 60+60/2+spreadMost+1))
+	gom.Expect(probes).To(gomega.BeNumerically("<=", 60+60/2+extraProbeBurst+1))
 }
 
-// TestBehindWaitsForTheCutOff: a publisher asks where a document is not in
-// force. A member that fell silent counts until it must have noticed that it is
-// cut off; when more than half are silent they may vouch for each other and
-// count on, until the platform has taken them off its list.
-func TestBehindWaitsForTheCutOff(t *testing.T) {
+// TestBehindCountsPartitionedMembers: a publisher asks which members have not applied a
+// document. An unresponsive member counts until it must have noticed that it is
+// partitioned. When more than half are unresponsive, they may form a majority among
+// themselves and keep counting until the platform has removed them from its list.
+func TestBehindCountsPartitionedMembers(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	grp := newGroup(5)
 	grp.run(3 * clock.Second)
@@ -247,9 +248,9 @@
 	gom.Expect(lst.Behind(2, 6*clock.Second, late)).To(gomega.ConsistOf(name(0), name(1)))
 }
 
-// TestNewsOnlyGrows: whatever order news comes in, a member's applied offset
-// never falls, and an incarnation that is proved to have ended stays dead.
-func TestNewsOnlyGrows(t *testing.T) {
+// TestUpdatesAreMonotonic: in whatever order updates arrive, a member's applied offset
+// never decreases, and an incarnation that is proved to have ended stays dead.
+func TestUpdatesAreMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lst := New("self:1#a", "dc1", "self:1", 1000)
 		applied := int64(0)
@@ -269,17 +270,17 @@
 				t.Fatalf("applied fell from %d to %d", applied, mbr.Applied())
 			}
 			if gone && lst.IsLive("oth:1#a") {
-				t.Fatal("an incarnation that had ended came back")
+				t.Fatal("an ended incarnation is live again")
 			}
 			applied = mbr.Applied()
 		}
 	})
 }
 
-// TestHealedCut: two halves lose each other for an hour and each takes the
-// other for dead. When the cut heals, the instances that the platform lists are
-// greeted, and everybody is live again everywhere.
-func TestHealedCut(t *testing.T) {
+// TestHealedPartition: two halves are partitioned for an hour and declare each other dead.
+// When the partition heals, the instances that the platform lists are probed, and all are
+// live again everywhere.
+func TestHealedPartition(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	grp := newGroup(6)
 	grp.run(3 * clock.Second)
@@ -303,8 +304,8 @@
 	}
 }
 
-func ExampleList_Home() {
+func ExampleList_Owner() {
 	lst := New("10.0.0.1:7300#a", "dc1", "10.0.0.1:7100", 0)
-	fmt.Println(lst.Home("w/booking/k"))
+	fmt.Println(lst.Owner("w/booking/k"))
 	// Output: 10.0.0.1:7300#a
 }
--- a/pkg/member/homes_test.go
+++ b/pkg/member/owner_test.go
@@ -9,10 +9,10 @@
 	"amaranthvalve/pkg/ident"
 )
 
-// TestHomesByCapacity: the strong look after names by their strength, and the weak
-// only when nobody else is there: one of a fifth of a core that gathered a pool for
-// all would make everybody late. All members rank alike.
-func TestHomesByCapacity(t *testing.T) {
+// TestOwnersByCapacity: members own names in proportion to their capacity, and weak ones
+// only if there is no other member: a member with a fifth of a core that coordinated a pool
+// would delay all requests. All members compute the same ranking.
+func TestOwnersByCapacity(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	capacity := map[ident.Incarnation]float64{"a#1": 0.8, "b#1": 0.4, "c#1": 0.1, "d#1": 0.8}
 	build := func(self ident.Incarnation) *List {
--- a/pkg/member/doubt_test.go
+++ b/pkg/member/probe_test.go
@@ -10,12 +10,13 @@
 	"amaranthvalve/pkg/ident"
 )
 
-// TestMostLosePower: of two hundred instances the first five that look after a pool lose power
-// together. Whoever has an order for it asks them one after the other, and none answers. By
-// turns they are probed so rarely that they stay at the head of the ranks for many seconds, and
-// each request in that time waits for them anew. Doubted, they are out of the ranks a period
-// later, and one that does answer stays.
-func TestMostLosePower(t *testing.T) {
+// TestUnresponsiveOwnersAreProbed: of two hundred instances the first five owners of a pool
+// lose power together. An instance with an order for the pool tries one after the other and
+// gets no answer. Regular probes reach them so rarely that they stay first in the ranking
+// for many seconds, and each request in that time waits for them again. With requested
+// probes they are out of the ranking one period later, and a member that acknowledges
+// stays.
+func TestUnresponsiveOwnersAreProbed(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	lst := New("me#1", "z", "", 0)
 	for i := range 200 {
@@ -23,13 +24,13 @@
 	}
 	first := lst.Homes("pool")[:5]
 	gom.Expect(first).NotTo(gomega.ContainElement(ident.Incarnation("me#1")))
-	lst.due = clock.Minute // no turn comes
+	lst.nextProbeAt = clock.Minute // no regular probe is due
 	for _, who := range first {
 		act, ok := lst.Doubt(who, 1000)
 		gom.Expect(ok).To(gomega.BeTrue())
 		gom.Expect(act).To(gomega.Equal(Action{Kind: SendProbe, Target: who}))
 		_, again := lst.Doubt(who, 1001)
-		gom.Expect(again).To(gomega.BeFalse(), "one probe is enough")
+		gom.Expect(again).To(gomega.BeFalse(), "only one probe is sent")
 	}
 	lst.Ack(first[4], 1200)
 	lst.Tick(1000 + AckWait)
@@ -41,11 +42,11 @@
 	}
 }
 
-// TestHomesOutliveARestart: all instances are killed and start again. What is known of them
-// for a second are their addresses, from lines of the processes before. All that know the
-// addresses agree on who looks after what, whichever incarnations they have heard of; none
-// takes itself for alone, and an address stands in the ranks once.
-func TestHomesOutliveARestart(t *testing.T) {
+// TestOwnersSurviveRestart: all instances are killed and restarted. For a second only their
+// addresses are known, from the instance entries of the earlier processes. All instances
+// that know the addresses agree on the owners, whichever incarnations they have learned;
+// none considers itself the only member, and each address is in the ranking once.
+func TestOwnersSurviveRestart(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	learn := func(lst *List, boot string, hosts ...int) {
 		for _, host := range hosts {
@@ -69,13 +70,13 @@
 	gom.Expect(addrs(one)).To(gomega.Equal(addrs(two)))
 	gom.Expect(one.Homes("pool")).To(gomega.ContainElement(one.Self()))
 
-	// The ends of the processes before are told sooner than the names of those after them.
+	// The ends of the earlier processes arrive sooner than the new incarnations.
 	for _, host := range []string{"2", "3", "4", "5"} {
 		one.Learn([]News{{Who: ident.Incarnation("10.0.0." + host + ":1#old"), Gone: true}}, 1000)
 	}
 	one.Tick(1500)
 	gom.Expect(addrs(one)).To(gomega.Equal(addrs(two)))
 	learn(one, "new", 2, 3)
-	one.Tick(1000 + SucceedFor)
+	one.Tick(1000 + ReplacedFor)
 	gom.Expect(addrs(one)).To(gomega.ConsistOf("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"))
 }
--- a/pkg/member/slope_test.go
+++ b/pkg/member/slope_test.go
@@ -10,8 +10,8 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// TestSlopes measures what a member costs, and how long word of a newly applied
-// offset takes to reach a publisher, at today's size and at 390.
+// TestSlopes measures the cost of a member, and how long a newly applied offset takes to
+// become known to a publisher, at today's size and at 390 instances.
 func TestSlopes(t *testing.T) {
 	golden.Measuring(t)
 	for _, n := range []int{9, 100, 390} {
@@ -31,12 +31,12 @@
 		}
 		step := time.Since(began) / 100
 		raw, _ := cbor.Marshal(lst.Gossip(name(1)))
-		t.Logf("%d members: %d bytes a member, %v a step with a new view, %d bytes of news in a message, a publisher knows of all after %v (at most 90 s are tried)",
-			n, bytes, step, len(raw), spread(grp))
+		t.Logf("%d members: %d bytes a member, %v a step with a new view, %d bytes of updates in a message, all known to a publisher after %v (90 s at most)",
+			n, bytes, step, len(raw), propagation(grp))
 	}
 }
 
-// copyOf makes one instance's list of n members anew.
+// copyOf builds one instance's list of n members again.
 func copyOf(grp *group, n int) *List {
 	lst := New(name(0), "dc1", "a", grp.now)
 	for j := range n {
@@ -45,9 +45,9 @@
 	return lst
 }
 
-// spread lets every instance apply an offset and gives the fake time until one
-// of them has heard so of all.
-func spread(grp *group) time.Duration {
+// propagation sets a new applied offset at every instance and returns the fake time until
+// one of them knows it of all.
+func propagation(grp *group) time.Duration {
 	began := grp.now
 	for _, lst := range grp.lists {
 		lst.SetSelf(7, 0, false, grp.now)
