--- a/pkg/claim/doc.go
+++ b/pkg/claim/doc.go
@@ -1,34 +1,32 @@
-// Package claim decides who may run a non-idempotent request: at most one
-// attempt, ever.
+// Package claim ensures that a non-idempotent request runs at most once.
 //
 // # Concepts
 //
-// A caller names such a request with a key and an expiry. An instance that
-// wants to run it appends a claim to the log, reads its own record back, and
-// runs the request only if in log order its claim is the one that holds the
-// key. [Ledger] is the fold that says so, the same on every instance:
+// A caller identifies such a request by a key with an expiry. An instance that wants to run
+// it appends a claim to the log, reads its own record back, and runs the request only if
+// its claim is the one that holds the key in log order. [Ledger] is the replicated state
+// machine that decides this, identically on every instance:
 //
 //	free --claim--> held --release--> free
 //	                held --settle---> settled
 //
-// A release is the holder's word that nothing with an effect was dispatched
-// and never will be. A settlement records what became of the request, with the
-// answer when it is small. A held key whose holder is gone stays held: nobody
-// can tell whether the request ran, so it is never run again and the callers
-// are told "unknown". There is no lease on a key and no takeover: a lease can
-// lapse while its holder is paused, and the holder wakes and dispatches.
+// With a release the holder guarantees that nothing with an effect was dispatched and never
+// will be. A settlement records the outcome of the request, with the answer if it is small.
+// A held key whose holder has ended stays held: it can't be known whether the request ran,
+// so it is never run again and callers are answered "unknown". Keys have no lease and no
+// takeover: a lease can expire while its holder is paused, and the holder resumes and
+// dispatches.
 //
 // # Expiry
 //
-// The log forgets records after its retention. A key that were forgotten while
-// callers still repeat it would run twice. So a claim's expiry is bounded by
-// MaxLife, counted by the log's own clock from the record's instant, and a
-// key is kept in the ledger for MaxLife and Grace after its claim, well within
-// the retention. A repeat after the expiry is refused as expired, which does
-// not claim that the request did not run.
+// The log trims records after its retention. A key that is forgotten while callers still
+// repeat it would run twice. A claim's expiry is therefore bounded by MaxLife, measured by
+// the log's clock from the time of the record, and a key stays in the ledger for MaxLife
+// and Grace after its claim, well within the retention. A repeat after the expiry is
+// refused as expired, which does not imply that the request did not run.
 //
-// A ledger that starts in the middle of the stream knows all living keys if the
-// log keeps records for at least MinRetention. One that sees that it does not
-// says so ([Ledger.Covers]), and no key is claimed by it until all that it may
-// have missed have expired.
+// A ledger that starts in the middle of the stream knows all live keys if the log retains
+// records for at least MinRetention. A ledger that detects that this does not hold reports
+// it ([Ledger.Covers]), and no key is claimed by it until all claims that it may have
+// missed have expired.
 package claim
--- a/pkg/claim/ledger.go
+++ b/pkg/claim/ledger.go
@@ -12,18 +12,18 @@
 
 //go:generate go tool stringer -type=Phase -linecomment -output=phase_string.go
 
-// Bounds of a key's life.
+// Bounds of the life of a key.
 const (
-	// MaxLife is the longest span from a claim's record to its expiry.
+	// MaxLife is the maximum time from the record of a claim to its expiry.
 	MaxLife = clock.Day
-	// Grace is how much longer a key is remembered, so that late repeats are
-	// told "expired" and are not run.
+	// Grace is the additional time for which a key is remembered, so that late repeats are
+	// refused as expired and not run.
 	Grace = 6 * clock.Hour
-	// MinRetention is the shortest time for which the log must keep records:
-	// MaxLife, Grace and room for clocks that differ.
+	// MinRetention is the minimum retention of the log: MaxLife, Grace and a margin for
+	// clock skew.
 	MinRetention = MaxLife + Grace + clock.Hour
-	// MaxAnswer is the longest answer kept in the log, in bytes. A larger one
-	// stays with its holder.
+	// MaxAnswer is the maximum size in bytes of an answer stored in the log. A larger
+	// answer is kept by the holder.
 	MaxAnswer = 4 << 10
 )
 
@@ -39,39 +39,40 @@
 	Kind string `json:"kind"`
 	// Key is the full key, see [FullKey].
 	Key string `json:"key"`
-	// Attempt names the attempt; the same claim appended twice counts once.
+	// Attempt is the id of the attempt; the same claim appended twice counts once.
 	Attempt string `json:"attempt"`
 	// Holder is the instance that makes the attempt.
 	Holder ident.Incarnation `json:"holder,omitempty"`
-	// Digest is a hash of the request, so that one key can't name two.
+	// Digest is a hash of the request; it prevents one key from being used for two
+	// requests.
 	Digest string `json:"digest,omitempty"`
-	// Expires is the instant after which the key is refused.
+	// Expires is the time from which the key is refused.
 	Expires clock.Milli `json:"expires_ms,omitempty"`
-	// Outcome, Reason, Answer: what became of the request, in a settlement.
+	// Outcome, Reason and Answer are the result of the request, in a settlement.
 	Outcome string `json:"outcome,omitempty"`
 	Reason  string `json:"reason,omitempty"`
 	Answer  string `json:"answer,omitempty"`
-	// Large tells that the answer was too long and stays with the holder.
+	// Large reports that the answer exceeds MaxAnswer and is kept by the holder.
 	Large bool `json:"large,omitempty"`
 }
 
-// Encode gives the entry as a record body.
+// Encode returns the entry as a record body.
 func (ent Entry) Encode() json.RawMessage {
 	raw, err := json.Marshal(ent)
 	if err != nil {
-		panic(fmt.Sprintf("claim: an entry of plain values can't be encoded: %v", err))
+		panic(fmt.Sprintf("claim: encoding an entry: %v", err))
 	}
 	return raw
 }
 
-// FullKey joins workspace, service and key. A workspace that guesses another's
-// key names a different full key and gets nothing of it. Names contain no
-// slash, so no two triples meet.
+// FullKey joins workspace, service and key. A workspace that guesses another one's key
+// forms a different full key and gains no access to it. Names contain no slash, so that
+// full keys are unique.
 func FullKey(workspace, service, key string) string {
 	return workspace + "/" + service + "/" + key
 }
 
-// Phase is where a key stands.
+// Phase is the phase of a key.
 type Phase int
 
 // The phases.
@@ -81,102 +82,101 @@
 	Settled              // settled
 )
 
-// State is what the ledger knows of one key. The zero value is a free key.
+// State is the ledger's state of one key. The zero value is a free key.
 type State struct {
-	phase   Phase
-	attempt string
-	holder  ident.Incarnation
-	digest  string
-	expires clock.Milli
-	forget  clock.Milli
-	outcome outcm.Outcome
-	reason  outcm.Reason
-	answer  string
-	large   bool
+	phase    Phase
+	attempt  string
+	holder   ident.Incarnation
+	digest   string
+	expires  clock.Milli
+	forgetAt clock.Milli
+	outcome  outcm.Outcome
+	reason   outcm.Reason
+	answer   string
+	large    bool
 }
 
-// Phase gives where the key stands.
+// Phase returns the phase of the key.
 func (st State) Phase() Phase { return st.phase }
 
-// Attempt names the attempt that holds or settled the key.
+// Attempt returns the id of the attempt that holds or settled the key.
 func (st State) Attempt() string { return st.attempt }
 
-// Holder gives the instance that holds or settled the key.
+// Holder returns the instance that holds or settled the key.
 func (st State) Holder() ident.Incarnation { return st.holder }
 
-// Digest gives the hash of the request that the key names.
+// Digest returns the hash of the request that the key identifies.
 func (st State) Digest() string { return st.digest }
 
-// Expires gives the instant after which the key is refused.
+// Expires returns the time from which the key is refused.
 func (st State) Expires() clock.Milli { return st.expires }
 
-// Result gives what became of a settled request.
+// Result returns the outcome of a settled request.
 func (st State) Result() outcm.Result { return outcm.New(st.outcome, st.reason, "") }
 
-// Answer gives a settled request's answer; inLog is false when it was too
-// large for the log and is to be asked of the holder.
+// Answer returns a settled request's answer; inLog is false if it was too large for the log
+// and must be requested from the holder.
 func (st State) Answer() (text string, inLog bool) { return st.answer, !st.large }
 
-// Ledger is the fold over the claims' stream. The zero value expects offset 1.
-// The control thread owns it.
+// Ledger is the replicated state machine over the claims' stream. The zero value expects
+// offset 1. It is owned by the control loop.
 type Ledger struct {
-	applied int64
-	logNow  clock.Milli
-	blind   clock.Milli
-	keys    map[string]State
-	queue   []forgetting
+	applied         int64
+	logNow          clock.Milli
+	incompleteUntil clock.Milli
+	keys            map[string]State
+	expiries        []expiry
 }
 
-type forgetting struct {
+type expiry struct {
 	at  clock.Milli
 	key string
 }
 
-// Applied gives the offset of the last record applied.
+// Applied returns the offset of the last applied record.
 func (ldg *Ledger) Applied() int64 { return ldg.applied }
 
-// Next gives the offset to read from.
+// Next returns the offset to read from.
 func (ldg *Ledger) Next() int64 { return ldg.applied + 1 }
 
-// Len gives the number of keys remembered.
+// Len returns the number of remembered keys.
 func (ldg *Ledger) Len() int { return len(ldg.keys) }
 
-// Find gives what is known of a key.
+// Find returns the state of a key.
 func (ldg *Ledger) Find(key string) State { return ldg.keys[key] }
 
-// Restart makes the ledger go on at the oldest offset that the log still has,
-// because its next record has been forgotten, at the instant now.
+// Restart makes the ledger continue at the oldest offset that the log still has, because
+// its next record has been trimmed, at the time now.
 //
-// What was forgotten is older than the log's retention, and so are all keys in
-// it, for the retention is at least MinRetention: that is the platform's word, and
-// a new reader has nothing else to go by. (Going by the age of the oldest record
-// left was tried first: after a closure of some days no record is left, and every
-// booking was refused for thirty hours.) A reader that has read before can tell
-// when the word was not kept: the records that it missed are younger than its
-// last one. It then knows less than all living keys for as long as they live.
+// The trimmed records are older than the log's retention, and so are all keys in them,
+// because the platform guarantees a retention of at least MinRetention. A new reader has
+// nothing else to rely on: the age of the oldest remaining record is no measure, since
+// after some days without requests no record is left, and every booking would be refused
+// for thirty hours. A ledger that has read before can detect a shorter retention: the
+// missed records are younger than its last one. It then does not know all live keys until
+// the missed ones have expired.
 func (ldg *Ledger) Restart(start int64, now clock.Milli) {
 	if start <= ldg.Next() {
 		return
 	}
 	if ldg.applied > 0 && now-ldg.logNow < MinRetention {
-		ldg.blind = now + MaxLife + Grace
+		ldg.incompleteUntil = now + MaxLife + Grace
 	}
 	ldg.applied = start - 1
 }
 
-// Covers tells whether every key that can still be repeated is known, at the
-// instant now.
-func (ldg *Ledger) Covers(now clock.Milli) bool { return now >= ldg.blind }
+// Covers reports whether every key that can still be repeated is known at the time now.
+func (ldg *Ledger) Covers(now clock.Milli) bool { return now >= ldg.incompleteUntil }
 
-// Change tells that a key's state changed with an applied record.
+// Change is a change of a key's state by an applied record.
 type Change struct {
 	Key     string
 	Attempt string
 	State   State
 }
 
-// Apply takes the next records in the order of their offsets; gap is true when
-// one is missing, and the records after it are left.
+// Apply applies the next records in the order of their offsets. It stops at a missing
+// record, and gap is then true.
 func (ldg *Ledger) Apply(recs []oplog.Record) (changes []Change, gap bool) {
 	for _, rec := range recs {
 		if rec.Offset < ldg.Next() {
@@ -187,7 +187,7 @@
 		}
 		ldg.applied = rec.Offset
 		ldg.logNow = max(ldg.logNow, rec.At)
-		ldg.forget()
+		ldg.forgetExpired()
 		var ent Entry
 		if json.Unmarshal(rec.Body, &ent) != nil || ent.Key == "" {
 			continue
@@ -216,12 +216,11 @@
 	}
 }
 
-// wins tells whether a claim takes the key. The log's clock decides about the
-// expiry, not the claimant's: all instances must agree. A claim record that was
-// delayed beyond the key's expiry loses, and so does one whose own attempt was
-// released before: an append repeated after a lost reply may reach the log after
-// the release, and would then hold the key for an attempt that has been answered
-// "not run".
+// wins reports whether a claim takes the key. The expiry is compared with the log's clock,
+// not the claimant's, since all instances must agree. A claim whose record was delayed
+// beyond the key's expiry loses. So does a claim of an attempt that was released before: an
+// append repeated after a lost reply may reach the log after the release, and would then
+// hold the key for an attempt that was answered "not run".
 func (ldg *Ledger) wins(cur State, ent Entry) bool {
 	if cur.phase != Free {
 		return false
@@ -239,9 +238,9 @@
 	until := ldg.logNow + MaxLife + Grace
 	ldg.keys[ent.Key] = State{
 		phase: Held, attempt: ent.Attempt, holder: ent.Holder,
-		digest: ent.Digest, expires: ent.Expires, forget: until,
+		digest: ent.Digest, expires: ent.Expires, forgetAt: until,
 	}
-	ldg.queue = append(ldg.queue, forgetting{at: until, key: ent.Key})
+	ldg.expiries = append(ldg.expiries, expiry{at: until, key: ent.Key})
 }
 
 func (ldg *Ledger) release(key string, cur State) {
@@ -255,7 +254,7 @@
 	}
 }
 
-// settled gives the state after a settlement.
+// settled returns the state after a settlement.
 func (st State) settled(ent Entry) State {
 	oc, err := outcm.ParseOutcome(ent.Outcome)
 	if err != nil {
@@ -270,21 +269,21 @@
 	return st
 }
 
-// forget drops the keys whose time has come, before each record is applied and
-// not once a batch: readers get the same records in different batches, and one
-// that forgot later would refuse a claim which the others let win. The queue is in the order of the
-// log's clock; a key that was claimed again after a release stands in it twice
-// and goes with its later entry.
-func (ldg *Ledger) forget() {
+// forgetExpired removes expired keys before each record is applied, not once per batch:
+// readers receive the same records in different batches, and one that removed a key later
+// would refuse a claim that wins for the others. The queue is ordered by the log's clock. A
+// key that was claimed again after a release is in it twice and is removed with the later
+// entry.
+func (ldg *Ledger) forgetExpired() {
 	n := 0
-	for n < len(ldg.queue) && ldg.queue[n].at <= ldg.logNow {
-		ent := ldg.queue[n]
-		if ldg.keys[ent.key].forget <= ldg.logNow {
+	for n < len(ldg.expiries) && ldg.expiries[n].at <= ldg.logNow {
+		ent := ldg.expiries[n]
+		if ldg.keys[ent.key].forgetAt <= ldg.logNow {
 			delete(ldg.keys, ent.key)
 		}
 		n++
 	}
 	if n > 0 {
-		ldg.queue = append([]forgetting(nil), ldg.queue[n:]...)
+		ldg.expiries = append([]expiry(nil), ldg.expiries[n:]...)
 	}
 }
--- a/pkg/claim/ledger_test.go
+++ b/pkg/claim/ledger_test.go
@@ -16,8 +16,8 @@
 
 func TestMain(m *testing.M) { golden.Main(m) }
 
-// TestSessions plays whole sessions against the ledger: each line is a record
-// in the log or a question, and the wanted section tells what the ledger says.
+// TestSessions runs sequences of log records and queries against the ledger; the wanted
+// section has the state after each.
 func TestSessions(t *testing.T) {
 	golden.Run(t, "*.txtar", func(_ *testing.T, sections map[string]string) string {
 		var ldg Ledger
@@ -57,7 +57,7 @@
 	return clock.Milli(n)
 }
 
-// instance is a small model of one instance's use of the ledger.
+// instance models one instance's use of the ledger.
 type instance struct {
 	name    ident.Incarnation
 	ldg     Ledger
@@ -67,56 +67,55 @@
 	alive   bool
 }
 
-// once is a row of events at three instances that claim one key.
-type once struct {
+// scenario is a sequence of events at three instances that claim one key.
+type scenario struct {
 	log   []oplog.Record
 	tries int
 	ran   map[string]bool
 }
 
-func (onc *once) put(ent Entry) {
-	onc.log = append(onc.log, oplog.Record{Offset: int64(len(onc.log) + 1), At: clock.Milli(len(onc.log) + 1), Body: ent.Encode()})
+func (scn *scenario) put(ent Entry) {
+	scn.log = append(scn.log, oplog.Record{Offset: int64(len(scn.log) + 1), At: clock.Milli(len(scn.log) + 1), Body: ent.Encode()})
 }
 
-// claim starts an attempt, if none is under way, and appends its claim; an
-// append may be repeated at any time after its reply was lost.
-func (onc *once) claim(ins *instance) {
+// claim starts an attempt, if none is in progress, and appends its claim; an append may be
+// repeated at any time after a lost reply.
+func (scn *scenario) claim(ins *instance) {
 	if ins.attempt == "" {
-		onc.tries++
-		ins.attempt = fmt.Sprintf("a%d", onc.tries)
+		scn.tries++
+		ins.attempt = fmt.Sprintf("a%d", scn.tries)
 	}
-	onc.put(Entry{Kind: KindClaim, Key: "k", Attempt: ins.attempt, Holder: ins.name, Digest: "d", Expires: MaxLife / 2})
+	scn.put(Entry{Kind: KindClaim, Key: "k", Attempt: ins.attempt, Holder: ins.name, Digest: "d", Expires: MaxLife / 2})
 }
 
-// act reads the log up to an offset and does what the ledger says.
-func (onc *once) act(ins *instance, upto int, live bool) {
-	ins.ldg.Apply(onc.log[ins.ldg.Applied():upto])
+// act reads the log up to an offset and follows the ledger's decision.
+func (scn *scenario) act(ins *instance, upto int, live bool) {
+	ins.ldg.Apply(scn.log[ins.ldg.Applied():upto])
 	if ins.attempt == "" || ins.gaveUp || ins.ran {
 		return
 	}
 	ask := Ask{Attempt: ins.attempt, Digest: "d", Expires: MaxLife / 2, HolderLive: live}
 	if move, _ := Judge(ins.ldg.Find("k"), ask, 1); move == Run {
 		ins.ran = true
-		onc.ran[ins.attempt] = true
+		scn.ran[ins.attempt] = true
 	}
 }
 
-// release gives an attempt up that has not run, and says so in the log.
-func (onc *once) release(ins *instance) {
+// release abandons an attempt that has not run and appends its release.
+func (scn *scenario) release(ins *instance) {
 	if ins.attempt == "" || ins.ran {
 		return
 	}
-	onc.put(Entry{Kind: KindRelease, Key: "k", Attempt: ins.attempt})
+	scn.put(Entry{Kind: KindRelease, Key: "k", Attempt: ins.attempt})
 	ins.gaveUp = true
 }
 
-// TestAtMostOneAttemptRuns: instances claim one key at once, repeat after lost
-// replies, die, give up and come back late, and read the log at different
-// speeds. Whatever the order, at most one attempt is ever told to run, and none
-// that gave up.
+// TestAtMostOneAttemptRuns: instances claim one key concurrently, repeat after lost
+// replies, end, abandon attempts, resume late, and read the log at different speeds. In any
+// order of events at most one attempt runs, and never an abandoned one.
 func TestAtMostOneAttemptRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		onc := &once{ran: map[string]bool{}}
+		scn := &scenario{ran: map[string]bool{}}
 		insts := make([]*instance, 3)
 		for i := range insts {
 			insts[i] = &instance{name: ident.Incarnation(fmt.Sprintf("i%d#1", i)), alive: true}
@@ -128,15 +127,15 @@
 			}
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0, 1, 2:
-				onc.claim(ins)
+				scn.claim(ins)
 			case 3, 4, 5, 6:
-				upto := len(onc.log)
+				upto := len(scn.log)
 				if rapid.Bool().Draw(t, "lags") {
-					upto = rapid.IntRange(int(ins.ldg.Applied()), len(onc.log)).Draw(t, "upto")
+					upto = rapid.IntRange(int(ins.ldg.Applied()), len(scn.log)).Draw(t, "upto")
 				}
-				onc.act(ins, upto, rapid.Bool().Draw(t, "live"))
+				scn.act(ins, upto, rapid.Bool().Draw(t, "live"))
 			case 7:
-				onc.release(ins)
+				scn.release(ins)
 			case 8:
 				if ins.gaveUp {
 					ins.attempt, ins.gaveUp = "", false
@@ -145,15 +144,15 @@
 				ins.alive = rapid.IntRange(0, 5).Draw(t, "survives") > 0
 			}
 		}
-		if len(onc.ran) > 1 {
-			t.Fatalf("%d attempts ran: %v", len(onc.ran), onc.ran)
+		if len(scn.ran) > 1 {
+			t.Fatalf("%d attempts ran: %v", len(scn.ran), scn.ran)
 		}
 	})
 }
 
-// TestForgettingDoesNotDependOnBatches: a key has been held for its whole life
-// when the next record comes, a claim for the same key. A reader that gets both
-// in one batch and one that gets them in two agree that the claim wins.
+// TestForgettingDoesNotDependOnBatches: a key has expired when the next record arrives, a
+// claim of the same key. A reader that receives both in one batch and one that receives
+// them in two agree that the claim wins.
 func TestForgettingDoesNotDependOnBatches(t *testing.T) {
 	first := Entry{Kind: KindClaim, Key: "k", Attempt: "a1", Expires: 1000}
 	second := Entry{Kind: KindClaim, Key: "k", Attempt: "a2", Expires: MaxLife + Grace + 1000}
@@ -163,12 +162,12 @@
 	two.Apply(log[:1])
 	two.Apply(log[1:])
 	if one.Find("k") != two.Find("k") || one.Find("k").Attempt() != "a2" {
-		t.Fatalf("%+v and %+v", one.Find("k"), two.Find("k"))
+		t.Fatalf("states differ: %+v and %+v", one.Find("k"), two.Find("k"))
 	}
 }
 
-// TestReadersAgree: two readers that apply the same log in different batches,
-// with records repeated, hold the same state.
+// TestReadersAgree: two readers that apply the same log in different batches, with repeated
+// records, have the same state.
 func TestReadersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log []oplog.Record
@@ -198,10 +197,10 @@
 	})
 }
 
-// TestLateReaderKnowsLivingKeys: the log forgets records after its retention,
-// which is at least MinRetention. A new reader that starts with what is left, if
-// anything, knows every key that can still be repeated. One that has read before
-// and finds that younger records are gone says that it does not.
+// TestLateReaderKnowsLivingKeys: the log trims records after its retention, which is at
+// least MinRetention. A new reader that starts with the remaining records knows every key
+// that can still be repeated. A reader that has read before and finds younger records
+// trimmed reports that it does not.
 func TestLateReaderKnowsLivingKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log []oplog.Record
@@ -235,11 +234,11 @@
 			key := fmt.Sprintf("k%d", i)
 			st := all.Find(key)
 			if st.Phase() != Free && st.Expires() > now && late.Find(key) != st && late.Covers(now) {
-				t.Fatalf("%s lives and is not known to a reader that says it covers", key)
+				t.Fatalf("live key %s is unknown to a reader that reports to cover it", key)
 			}
 		}
 		if kept && !late.Covers(now) {
-			t.Fatal("a new reader refuses claims although the log kept its word")
+			t.Fatal("a new reader refuses claims although the log met its retention")
 		}
 	})
 }
--- a/pkg/claim/slope_test.go
+++ b/pkg/claim/slope_test.go
@@ -11,7 +11,7 @@
 	"amaranthvalve/pkg/oplog"
 )
 
-// TestSlopes measures what a key costs: memory held and time a record.
+// TestSlopes measures the cost of a key: memory and time per record.
 func TestSlopes(t *testing.T) {
 	golden.Measuring(t)
 	for _, keys := range []int{10_000, 100_000} {
--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -7,11 +7,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Milli is an instant (milliseconds since the Unix epoch) or a span of
-// milliseconds, as the name of the variable says.
+// Milli is an instant (milliseconds since the Unix epoch) or a duration in milliseconds,
+// depending on the variable.
 type Milli int64
 
-// Spans in common use.
+// Common durations.
 const (
 	Second Milli = 1000
 	Minute       = 60 * Second
@@ -19,51 +19,51 @@
 	Day          = 24 * Hour
 )
 
-// FromDuration gives the whole milliseconds of d, rounded down.
+// FromDuration returns the whole milliseconds of d, rounded towards zero.
 func FromDuration(d time.Duration) Milli { return Milli(d.Milliseconds()) }
 
-// Duration gives the span as the standard library's type.
+// Duration converts a duration to the type of the standard library.
 func (m Milli) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
-// Time gives the instant as the standard library's type, in UTC.
+// Time converts an instant to the type of the standard library, in UTC.
 func (m Milli) Time() time.Time { return time.UnixMilli(int64(m)).UTC() }
 
-// Seconds gives the span in seconds.
+// Seconds returns the duration in seconds.
 func (m Milli) Seconds() float64 { return float64(m) / float64(Second) }
 
-// Clock tells the present instant. The zero value reads the machine's clock.
+// Clock is a source of the current time. The zero value reads the machine's clock.
 type Clock struct {
 	now func() Milli
 }
 
-// New returns a clock that asks now; it is the seam for tests.
+// New returns a clock that calls now, for tests.
 func New(now func() Milli) Clock { return Clock{now: now} }
 
-// Now gives the present instant. It never runs backwards within a process: the
-// machine's wall clock is read once, at start, and a clock that only goes on is
-// added to it. A wall clock set back by an operator would otherwise make a lapsed
-// lease look valid again.
+// Now returns the current time. It never decreases within a process: the wall clock is read
+// once at start, and the time elapsed on a monotonic clock is added to it. Otherwise an
+// expired lease would be valid again when an operator sets the wall clock back.
 //
-// The clock that is added counts the time for which the machine was suspended. The
-// usual steady clock doesn't, and with it a lease or a view that ran out meanwhile
-// would look fresh to a process that wakes.
+// The monotonic clock includes the time for which the machine was suspended. The usual one
+// does not, and a lease or a view that expired meanwhile would be valid for a process that
+// resumes.
 func (c Clock) Now() Milli {
 	if c.now != nil {
 		return c.now()
 	}
-	return onward.at(boot())
+	return monotonic.at(sinceBoot())
 }
 
-// Since gives the span from then to the present instant.
+// Since returns the time elapsed since then.
 func (c Clock) Since(then Milli) Milli { return c.Now() - then }
 
-// Deadline gives an instant of this clock as the runtime's timers and contexts take it. It is
-// up to a millisecond later and never earlier, since this clock's instants are rounded down.
+// Deadline converts an instant of this clock for the runtime's timers and contexts. The
+// result is up to a millisecond later and never earlier, since this clock's instants are
+// rounded down.
 func (c Clock) Deadline(at Milli) time.Time {
 	return time.Now().Add((at + 1 - c.Now()).Duration())
 }
 
-// origin ties a reading of the machine's clock since boot to an instant.
+// origin maps a reading of the machine's clock since boot to an instant.
 type origin struct {
 	instant Milli
 	reading time.Duration
@@ -73,10 +73,10 @@
 	return org.instant + FromDuration(reading-org.reading)
 }
 
-var onward = origin{instant: Milli(time.Now().UnixMilli()), reading: boot()}
+var monotonic = origin{instant: Milli(time.Now().UnixMilli()), reading: sinceBoot()}
 
-// boot reads the machine's clock since boot, suspended time included.
-func boot() time.Duration {
+// sinceBoot returns the time since the machine's boot, including suspended time.
+func sinceBoot() time.Duration {
 	var spec unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &spec); err != nil {
 		// Every Linux since 2.6.39 has this clock.
@@ -85,19 +85,19 @@
 	return time.Duration(spec.Nano())
 }
 
-// Fake is a clock that moves only when it is told to. The zero value stands
-// at the epoch and may be used by several goroutines.
+// Fake is a clock that is advanced explicitly. The zero value is at the epoch. It is safe
+// for concurrent use.
 type Fake struct {
 	at atomic.Int64
 }
 
-// Clock gives the clock that reads this fake.
+// Clock returns the clock that reads this fake.
 func (fk *Fake) Clock() Clock {
 	return New(func() Milli { return Milli(fk.at.Load()) })
 }
 
-// Advance moves the fake by d, which may be negative.
+// Advance adds d, which may be negative.
 func (fk *Fake) Advance(d Milli) { fk.at.Add(int64(d)) }
 
-// Set moves the fake to an instant.
+// Set sets the current time.
 func (fk *Fake) Set(at Milli) { fk.at.Store(int64(at)) }
--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -8,8 +8,8 @@
 	"github.com/onsi/gomega"
 )
 
-// TestNeverRunsBackwards: whatever the machine does, a later look gives no
-// earlier instant, or a lapsed lease would look valid again.
+// TestNeverRunsBackwards: a later reading is never earlier, or an expired lease would be
+// valid again.
 func TestNeverRunsBackwards(t *testing.T) {
 	var clk Clock
 	last := clk.Now()
@@ -35,17 +35,16 @@
 	// Output: 2000 2
 }
 
-// TestSuspendedTimeCounts: a machine is suspended for a minute. The clock since boot
-// counts the minute, and so must ours: else a process that wakes would take a view
-// or a lease that ran out for fresh.
+// TestSuspendedTimeCounts: the clock includes a minute for which the machine was suspended.
+// Otherwise an expired view or lease would be valid for a process that resumes.
 func TestSuspendedTimeCounts(t *testing.T) {
 	org := origin{instant: 1_000_000, reading: 5 * time.Second}
 	if got := org.at(65*time.Second + 200*time.Millisecond); got != 1_060_200 {
-		t.Errorf("%d", got)
+		t.Errorf("instant %d, want 1060200", got)
 	}
-	before, at := boot(), time.Now()
+	before, at := sinceBoot(), time.Now()
 	time.Sleep(20 * time.Millisecond)
-	if drift := (boot() - before) - time.Since(at); drift < -5*time.Millisecond {
+	if drift := (sinceBoot() - before) - time.Since(at); drift < -5*time.Millisecond {
 		t.Errorf("the clock lost %v of running time", -drift)
 	}
 }
--- a/pkg/clock/doc.go
+++ b/pkg/clock/doc.go
@@ -1,10 +1,10 @@
-// Package clock holds the one time type of the project.
+// Package clock defines the project's representation of time.
 //
-// Every instant and every span is a whole number of milliseconds. Decision
-// packages never read a clock: they are handed the present instant as an
-// argument. Only the daemons own a [Clock], and tests own a [Fake].
+// Every instant and every duration is a whole number of milliseconds. Packages that make
+// decisions never read a clock: they receive the current time as an argument. Only the
+// daemons have a [Clock], and tests a [Fake].
 //
-// An instant counts from the Unix epoch, so that it may be compared with the
-// instant that the platform's log writes on a record. Two instances' clocks
-// may differ; what compares them says so and by how much.
+// Instants count from the Unix epoch, so that they can be compared with the times that the
+// platform's log assigns to records. The clocks of two instances may differ; code that
+// compares them documents the permitted difference.
 package clock
--- a/pkg/ending/ending.go
+++ b/pkg/ending/ending.go
@@ -1,10 +1,9 @@
-// Package ending tells how a call to an endpoint ended, and what follows from it: for
-// the request's outcome, for another attempt, and for the routing that chose the
-// endpoint.
+// Package ending classifies how a call to an endpoint ended, and what follows for the
+// request's outcome, for another attempt, and for the routing that chose the endpoint.
 //
-// There is one list of endings for all protocols that endpoints are spoken to in. What
-// matters about each is whether it is proved that nothing ran; everything else may have
-// run, whatever it looks like. Package retry decides what may be done again.
+// One set of endings covers all protocols of endpoints. What matters about each is whether
+// it proves that nothing ran; after any other ending the request may have run. Package
+// retry decides what may be repeated.
 package ending
 
 import (
@@ -21,29 +20,29 @@
 
 // The endings.
 const (
-	// Answered: the whole answer to this call came, or its beginning where it streams.
+	// Answered: the whole answer to this call arrived, or its beginning if it streams.
 	Answered Ending = iota // answered
-	// NothingSent: no connection was had, so no byte was written.
+	// NothingSent: no connection was established, so no byte was written.
 	NothingSent // nothing_sent
-	// Refused: the endpoint gave its word that nothing ran.
+	// Refused: the endpoint confirmed that nothing ran.
 	Refused // refused
 	// Errored: the endpoint answered with an error; it may have run.
 	Errored // errored
-	// Cut: the connection ended before the whole answer; it may have run.
+	// Cut: the connection broke before the whole answer arrived; it may have run.
 	Cut // cut
-	// Foreign: the answer belonged to another call; ours may have run.
+	// Foreign: the answer belonged to another call; this one may have run.
 	Foreign // foreign
-	// Unsigned: a success without the endpoint's proof; it may have run.
+	// Unsigned: a success without the endpoint's signature; it may have run.
 	Unsigned // unsigned
-	// GaveUp: our own context ended; it may have run.
+	// GaveUp: the call was canceled by its context; it may have run.
 	GaveUp // gave_up
-	// Withheld: a connection was had, and no byte was written, since the request was allowed
-	// no longer.
+	// Withheld: a connection was established, but no byte was written since the request was
+	// no longer permitted.
 	Withheld // withheld
 )
 
-// Broken gives the ending of a call whose connection broke: our own end of it, if the
-// context has ended, or else a cut.
+// Broken returns the ending of a call whose connection broke: GaveUp if the context has
+// ended, otherwise Cut.
 func Broken(ctx context.Context) Ending {
 	if ctx.Err() != nil {
 		return GaveUp
@@ -51,13 +50,13 @@
 	return Cut
 }
 
-// RanNothing tells whether it is proved that nothing ran.
+// RanNothing reports whether the ending proves that nothing ran.
 func (end Ending) RanNothing() bool { return !end.Sent() || end == Refused }
 
-// Sent tells whether any byte of the request may have been written.
+// Sent reports whether any byte of the request may have been written.
 func (end Ending) Sent() bool { return end != NothingSent && end != Withheld }
 
-// Cause gives what another attempt after this one is counted as.
+// Cause returns the cause under which another attempt after this ending is counted.
 func (end Ending) Cause() retry.Cause {
 	switch end {
 	case NothingSent, Withheld:
@@ -70,10 +69,11 @@
 	return retry.Cut
 }
 
-// Verdict tells routing how the endpoint did. One that we gave up because its time was
-// over, outlasted, is the endpoint's fault; were it neutral, an endpoint that is too
-// slow for every deadline would never be found out, for only fast answers would be
-// counted. One that we gave up because its caller went, or sent nothing of, is nobody's.
+// Verdict returns the routing's verdict on the endpoint. A call that was given up because
+// its time expired, outlasted, counts against the endpoint: if it were neutral, only fast
+// answers would count, and an endpoint too slow for every deadline would never be detected.
+// A call that was given up because its caller disconnected, or that was withheld, is
+// neutral.
 func (end Ending) Verdict(outlasted bool) route.Verdict {
 	switch {
 	case end == Answered:
--- a/pkg/ending/ending_test.go
+++ b/pkg/ending/ending_test.go
@@ -21,17 +21,18 @@
 	// cut false cut
 }
 
-// TestOnlyProofCounts: a caller that is told "not run" repeats its booking elsewhere. An
-// ending that merely looks as if nothing ran would book twice; there are three that prove it.
-func TestOnlyProofCounts(t *testing.T) {
+// TestRanNothing: a caller that is answered "not run" repeats its booking elsewhere. An
+// ending that merely suggests that nothing ran would book twice; only three endings prove
+// it.
+func TestRanNothing(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	for end := Answered; end <= Withheld; end++ {
 		gom.Expect(end.RanNothing()).To(gomega.Equal(end == NothingSent || end == Refused || end == Withheld), end.String())
 	}
 }
 
-// TestVerdicts: an endpoint that lets every caller's time run out answers nobody in time.
-// It must be judged by that, while a caller that leaves says nothing of its endpoint.
+// TestVerdicts: an endpoint that exceeds every caller's time must be judged by that,
+// whereas a caller that disconnects is no evidence about its endpoint.
 func TestVerdicts(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	gom.Expect(GaveUp.Verdict(true)).To(gomega.Equal(route.Overload))
@@ -44,8 +45,8 @@
 	}
 }
 
-// TestCauses: each repeat is counted by why it was made; an ending without a cause of its
-// own would be counted as a connection that was never had.
+// TestCauses: each repeat is counted by its cause; an ending without an explicit cause
+// would be counted as a connection that was not established.
 func TestCauses(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	want := map[Ending]retry.Cause{
@@ -57,8 +58,8 @@
 	}
 }
 
-// TestBroken: a connection ends as the caller leaves. It is our own end, not the
-// endpoint's, whatever the error says.
+// TestBroken: a connection that breaks as the caller disconnects counts as given up, not as
+// a failure of the endpoint.
 func TestBroken(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/pkg/ident/ident.go
+++ b/pkg/ident/ident.go
@@ -1,11 +1,11 @@
-// Package ident holds the names by which instances, attempts and records are
-// told apart.
+// Package ident defines the identifiers of instances, attempts, records and endpoint
+// processes.
 //
-// An address alone names nothing for long: replaced instances reuse it. An
-// [Incarnation] is an address together with a number drawn at random when the
-// process starts, so that a restarted process is never taken for the one
-// whose claims and leases are still in the log. A [Process] is the same for an
-// endpoint, which says itself when it started.
+// An address alone does not identify an instance permanently: replacement instances reuse
+// it. An [Incarnation] is an address together with a number drawn at random when the
+// process starts, so that a restarted process is never confused with the one whose claims
+// and leases are still in the log. A [Process] is the equivalent for an endpoint, which
+// reports its start time itself.
 package ident
 
 import (
@@ -14,34 +14,33 @@
 	"strings"
 )
 
-// nonceBytes is long enough that two draws never meet in practice: at ten
-// thousand ids a second for a century the chance of one collision in 128 bits
-// is below 1e-10.
+// nonceBytes is long enough to make collisions negligible: at ten thousand ids a second for
+// a century the probability of one collision in 128 bits is below 1e-10.
 const nonceBytes = 16
 
-// NewID draws a random id of 32 hexadecimal digits.
+// NewID returns a random id of 32 hexadecimal digits.
 func NewID() string {
 	var raw [nonceBytes]byte
-	// crypto/rand.Read never fails since Go 1.24: it ends the process instead.
+	// crypto/rand.Read never fails since Go 1.24: it terminates the process instead.
 	_, _ = rand.Read(raw[:])
 	return hex.EncodeToString(raw[:])
 }
 
-// Incarnation names one run of one process: "address#boot".
+// Incarnation identifies one run of an instance's process: "address#boot".
 type Incarnation string
 
-// NewIncarnation names the present run of the process that listens on addr.
+// NewIncarnation returns a new incarnation of the process that listens on addr.
 func NewIncarnation(addr string) Incarnation {
 	return Incarnation(addr + "#" + NewID()[:16])
 }
 
-// Addr gives the address part.
+// Addr returns the address.
 func (inc Incarnation) Addr() string {
 	addr, _, _ := strings.Cut(string(inc), "#")
 	return addr
 }
 
-// Boot gives the part that is drawn anew at each start.
+// Boot returns the boot number, which is drawn at each start.
 func (inc Incarnation) Boot() string {
 	_, boot, _ := strings.Cut(string(inc), "#")
 	return boot
--- a/pkg/ident/ident_test.go
+++ b/pkg/ident/ident_test.go
@@ -21,7 +21,8 @@
 	// Output: i-7f3a@2000 i-7f3a 2000 true false
 }
 
-// TestProcessNames: whatever an endpoint is called, its run gives its name and start back.
+// TestProcessNames: a process returns the endpoint's name and start time, whatever the name
+// contains.
 func TestProcessNames(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	for _, name := range []string{"i-1", "i@1", "a@b@c", ""} {
@@ -32,5 +33,5 @@
 		}
 	}
 	gom.Expect(NewProcess("a", 2).Replaces(NewProcess("b", 1))).To(gomega.BeFalse())
-	gom.Expect(NewProcess("a", 1).Replaces(NewProcess("a", 0))).To(gomega.BeTrue(), "one that says when it started is the later one")
+	gom.Expect(NewProcess("a", 1).Replaces(NewProcess("a", 0))).To(gomega.BeTrue(), "a run with a start time is later than one without")
 }
--- a/pkg/ident/process.go
+++ b/pkg/ident/process.go
@@ -7,49 +7,48 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// bornMark stands between a process's name and the instant of its start.
-const bornMark = "@"
+// startSep separates an endpoint's name from its start time.
+const startSep = "@"
 
-// Process names one run of an endpoint, from its start to its end: the endpoint's name and
-// the instant of its start.
+// Process identifies one run of an endpoint: the endpoint's name and its start time.
 //
-// An endpoint may start again under the name that it had, and then holds and knows nothing
-// of before. Whatever is believed of an endpoint is kept under its Process, so that it goes
-// with the run it was learnt from, everywhere at once: load, failures, room taken, cached
-// prompts, its leaving.
+// An endpoint may restart under the same name, and then has no state of the earlier run.
+// All that is known of an endpoint is stored under its Process, so that it is discarded
+// everywhere together with the run that it applies to: load, failures, result storage used,
+// cached prompts, and that it is leaving.
 type Process string
 
-// NewProcess names the run of an endpoint that started at an instant; zero for an endpoint
-// that doesn't say when.
+// NewProcess returns the identifier of an endpoint's run that started at born; zero for an
+// endpoint that does not report it.
 func NewProcess(name string, born clock.Milli) Process {
-	if born == 0 && !strings.Contains(name, bornMark) {
+	if born == 0 && !strings.Contains(name, startSep) {
 		return Process(name)
 	}
-	return Process(name + bornMark + strconv.FormatInt(int64(born), 10))
+	return Process(name + startSep + strconv.FormatInt(int64(born), 10))
 }
 
-// Name gives the endpoint's name, which it may have in several runs.
+// Name returns the endpoint's name, which several runs may share.
 func (prc Process) Name() string {
-	if at := strings.LastIndex(string(prc), bornMark); at >= 0 {
+	if at := strings.LastIndex(string(prc), startSep); at >= 0 {
 		return string(prc[:at])
 	}
 	return string(prc)
 }
 
-// Born gives the instant of the start, zero if it isn't known.
+// Born returns the start time, zero if it is unknown.
 func (prc Process) Born() clock.Milli {
-	at := strings.LastIndex(string(prc), bornMark)
+	at := strings.LastIndex(string(prc), startSep)
 	if at < 0 {
 		return 0
 	}
-	born, err := strconv.ParseInt(string(prc[at+len(bornMark):]), 10, 64)
+	born, err := strconv.ParseInt(string(prc[at+len(startSep):]), 10, 64)
 	if err != nil {
 		return 0
 	}
 	return clock.Milli(born)
 }
 
-// Replaces tells whether this is a later run of the same endpoint than another.
+// Replaces reports whether prc is a later run of the same endpoint than old.
 func (prc Process) Replaces(old Process) bool {
 	return prc.Name() == old.Name() && prc.Born() > old.Born()
 }
--- a/pkg/ident/watch.go
+++ b/pkg/ident/watch.go
@@ -2,14 +2,13 @@
 
 import "sync"
 
-// Watch ends what is under way at endpoints that turn out to have started again. A call
-// that was sent to an earlier run gets no answer any more; where the connection went
-// silent as well, only a timeout would tell. The zero value watches nothing. It is safe for
-// concurrent use.
+// Watch cancels calls to endpoints that turn out to have restarted. A call to an earlier
+// run is never answered; if the connection is unresponsive as well, only a timeout would
+// end it. The zero value watches nothing. It is safe for concurrent use.
 type Watch struct {
 	mtx  sync.Mutex
 	next int64
-	// byName has the calls under way by their endpoints' names.
+	// byName holds the calls in flight by endpoint name and key.
 	byName map[string]map[int64]watched
 }
 
@@ -18,8 +17,8 @@
 	cancel func()
 }
 
-// Watch has cancel called when a later run of an endpoint than proc is listed. It gives
-// what is to be called when the call has ended.
+// Watch registers cancel to be called when a later run of the endpoint than proc is listed.
+// The caller must call stop when the call has ended.
 func (wat *Watch) Watch(proc Process, cancel func()) (stop func()) {
 	wat.mtx.Lock()
 	defer wat.mtx.Unlock()
@@ -45,7 +44,8 @@
 	}
 }
 
-// Listed notes a run that is listed, and ends what is under way at earlier ones.
+// Listed records that a run is listed, and cancels the calls to earlier runs of the
+// endpoint.
 func (wat *Watch) Listed(proc Process) {
 	wat.mtx.Lock()
 	defer wat.mtx.Unlock()
--- a/pkg/ident/watch_test.go
+++ b/pkg/ident/watch_test.go
@@ -6,9 +6,9 @@
 	"github.com/onsi/gomega"
 )
 
-// TestCallsOfAnEarlierRunEnd: calls are under way at two endpoints, and one of them is listed
-// with a later start. Its calls are ended, each once it was sent to the earlier run, and those
-// of the other endpoint and of the new run go on.
+// TestCallsOfAnEarlierRunEnd: calls are in flight at two endpoints, and one of them is
+// listed with a later start. Its calls to the earlier run are canceled, each once; those to
+// the other endpoint and to the new run continue.
 func TestCallsOfAnEarlierRunEnd(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	var wat Watch
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -1,25 +1,25 @@
-// Package lease decides who may order endpoints about: one holder a name, with
-// a fencing number that only grows.
+// Package lease decides which instance may send orders to endpoints: one holder per name,
+// with a fencing number that only increases.
 //
 // # Concepts
 //
-// A lease is a row of records in the log. The offset of the record that
-// acquired it is the fencing number. The fold ([Book]) counts time by the log's
-// clock alone, so that all instances agree who holds what; a holder itself
-// counts by its own clock, from before it sent the append ([Grant.Valid]), and so
-// always believes the lease to end earlier than the fold does.
+// A lease is a sequence of records in the log. The offset of the record that acquired it is
+// the fencing number. The state machine ([Book]) measures time by the log's clock alone, so
+// that all instances agree on the holder. A holder itself measures by its own clock, from
+// before it sent the append ([Grant.Valid]), and therefore always considers the lease over
+// earlier than the state machine does.
 //
-// A holder can be paused between its last look at the clock and the write of an
-// order. Two things keep such an order from doing harm. An endpoint that checks
-// fencing numbers refuses it. For one that does not, a new holder can acquire
-// only when the old lease has been over for Flight, the longest time that an
-// order may be under way, and orders state a desired result and not a step; the
-// new holder reads the state back and corrects it. What remains is a holder paused
-// for longer than Flight with the bytes of an order already handed to the
-// kernel: the correction then comes with the next read, see docs/PROOFS.md.
+// A holder can be paused between its last reading of the clock and the write of an order.
+// Two measures keep such an order from doing harm. An endpoint that checks fencing numbers
+// refuses it. For an endpoint that does not, a new holder can acquire the lease only Flight
+// after its end, the maximum time that an order may be in flight; and orders state a
+// desired result, not a step, so that the new holder reads the state back and corrects it.
+// One case remains: a holder paused for longer than Flight with the bytes of an order
+// already passed to the kernel. The correction then follows with the next read, see
+// docs/PROOFS.md.
 //
-// Source: C. Gray and D. Cheriton, "Leases: an efficient fault-tolerant
-// mechanism for distributed file cache consistency", SOSP 1989.
+// Source: C. Gray and D. Cheriton, "Leases: an efficient fault-tolerant mechanism for
+// distributed file cache consistency", SOSP 1989.
 package lease
 
 import (
@@ -31,13 +31,13 @@
 	"amaranthvalve/pkg/oplog"
 )
 
-// Spans of a lease.
+// Durations of a lease.
 const (
-	// TTL is how long a lease lasts from its record.
+	// TTL is the duration of a lease, from the time of its record.
 	TTL = 10 * clock.Second
-	// Renew is when a holder appends again, counted from its last append.
+	// Renew is the interval between appends of a holder.
 	Renew = 3 * clock.Second
-	// Flight is the longest time for which an order may be under way.
+	// Flight is the maximum time that an order may be in flight.
 	Flight = 5 * clock.Second
 )
 
@@ -52,21 +52,21 @@
 	Kind   string            `json:"kind"`
 	Name   string            `json:"name"`
 	Holder ident.Incarnation `json:"holder"`
-	// ID names the append, so that a holder knows which of its own appends
-	// brought its lease up to date.
+	// ID identifies the append, so that a holder knows which of its own appends renewed its
+	// lease last.
 	ID string `json:"id"`
 }
 
-// Encode gives the entry as a record body.
+// Encode returns the entry as a record body.
 func (ent Entry) Encode() json.RawMessage {
 	raw, err := json.Marshal(ent)
 	if err != nil {
-		panic(fmt.Sprintf("lease: an entry of plain values can't be encoded: %v", err))
+		panic(fmt.Sprintf("lease: encoding an entry: %v", err))
 	}
 	return raw
 }
 
-// Tenure is who holds a lease, by the log's clock.
+// Tenure is the ownership of a lease by one holder, by the log's clock.
 type Tenure struct {
 	holder ident.Incarnation
 	fence  int64
@@ -74,58 +74,58 @@
 	id     string
 }
 
-// ID names the append that brought the lease to its present end.
+// ID returns the id of the append that acquired the lease or renewed it last.
 func (ten Tenure) ID() string { return ten.id }
 
-// Holder gives the instance.
+// Holder returns the instance that holds the lease.
 func (ten Tenure) Holder() ident.Incarnation { return ten.holder }
 
-// Fence gives the fencing number: the offset of the acquiring record. A
-// renewal keeps it.
+// Fence returns the fencing number: the offset of the acquiring record. A renewal keeps it.
 func (ten Tenure) Fence() int64 { return ten.fence }
 
-// Until gives the instant at which the lease ends, by the log's clock.
+// Until returns the time at which the lease ends, by the log's clock.
 func (ten Tenure) Until() clock.Milli { return ten.until }
 
-// Book is the fold over the leases' stream. The zero value expects offset 1.
+// Book is the replicated state machine over the leases' stream. The zero value expects
+// offset 1.
 type Book struct {
 	applied int64
 	logNow  clock.Milli
-	held    map[string]Tenure
+	leases  map[string]Tenure
 }
 
-// Applied gives the offset of the last record applied.
+// Applied returns the offset of the last applied record.
 func (bk *Book) Applied() int64 { return bk.applied }
 
-// Next gives the offset to read from.
+// Next returns the offset to read from.
 func (bk *Book) Next() int64 { return bk.applied + 1 }
 
-// Find gives a lease's last tenure, over or not.
+// Find returns a lease's last tenure, whether it has ended or not.
 func (bk *Book) Find(name string) (Tenure, bool) {
-	ten, ok := bk.held[name]
+	ten, ok := bk.leases[name]
 	return ten, ok
 }
 
-// All gives the names and tenures.
+// All returns the tenures by name.
 func (bk *Book) All() map[string]Tenure {
-	all := make(map[string]Tenure, len(bk.held))
-	for name, ten := range bk.held {
+	all := make(map[string]Tenure, len(bk.leases))
+	for name, ten := range bk.leases {
 		all[name] = ten
 	}
 	return all
 }
 
-// Restart makes the book go on at the oldest offset that the log still has.
-// Leases last seconds and records are kept for hours, so that an unread lease
-// has long ended; its fencing number is smaller than any offset to come.
+// Restart makes the state machine continue at the oldest offset that the log still has.
+// Leases last seconds and records are retained for hours, so that an unread lease has ended
+// long ago; its fencing number is smaller than any later offset.
 func (bk *Book) Restart(start int64) {
 	if start > bk.Next() {
 		bk.applied = start - 1
 	}
 }
 
-// Apply takes the next records in the order of their offsets; gap is true when
-// one is missing, and the records after it are left.
+// Apply applies the next records in the order of their offsets. It stops at a missing
+// record, and gap is then true.
 func (bk *Book) Apply(recs []oplog.Record) (gap bool) {
 	for _, rec := range recs {
 		if rec.Offset < bk.Next() {
@@ -145,32 +145,32 @@
 }
 
 func (bk *Book) step(rec oplog.Record, ent Entry) {
-	if bk.held == nil {
-		bk.held = map[string]Tenure{}
+	if bk.leases == nil {
+		bk.leases = map[string]Tenure{}
 	}
-	cur, ok := bk.held[ent.Name]
+	cur, ok := bk.leases[ent.Name]
 	mine := ok && cur.holder == ent.Holder
 	switch ent.Kind {
 	case KindAcquire:
 		switch {
 		case mine && rec.At < cur.until:
 			cur.until, cur.id = rec.At+TTL, ent.ID
-			bk.held[ent.Name] = cur
+			bk.leases[ent.Name] = cur
 		case !ok || rec.At >= cur.until+Flight:
-			bk.held[ent.Name] = Tenure{holder: ent.Holder, fence: rec.Offset, until: rec.At + TTL, id: ent.ID}
+			bk.leases[ent.Name] = Tenure{holder: ent.Holder, fence: rec.Offset, until: rec.At + TTL, id: ent.ID}
 		}
 	case KindRelease:
 		if mine {
 			cur.until = min(cur.until, rec.At)
-			bk.held[ent.Name] = cur
+			bk.leases[ent.Name] = cur
 		}
 	}
 }
 
-// Open tells whether an acquisition appended at the instant now would probably
-// succeed. It spares the log hopeless appends and is never trusted for safety.
+// Open reports whether an acquisition appended at the time now would probably succeed. It
+// avoids appends that can't succeed and is never trusted for safety.
 func (bk *Book) Open(name string, now clock.Milli) bool {
-	ten, ok := bk.held[name]
+	ten, ok := bk.leases[name]
 	return !ok || now >= ten.until+Flight
 }
 
@@ -180,19 +180,18 @@
 	sentAt clock.Milli
 }
 
-// NewGrant notes that the append which gave or renewed the lease was sent at
-// sentAt by the holder's clock.
+// NewGrant returns the grant of a lease whose last append was sent at sentAt by the
+// holder's clock.
 func NewGrant(fence int64, sentAt clock.Milli) Grant {
 	return Grant{fence: fence, sentAt: sentAt}
 }
 
-// Fence gives the fencing number to send with each order.
+// Fence returns the fencing number to send with each order.
 func (gr Grant) Fence() int64 { return gr.fence }
 
-// Valid tells whether the holder may act at the instant now. It is asked last
-// thing before an order is written, never once for a row of orders. An hour's
-// clock jump backwards must not revive a grant, so an instant before the append
-// is not valid either.
+// Valid reports whether the holder may act at the time now. It must be checked immediately
+// before each order is written, not once for several orders. A time before the append is
+// not valid either, so that a clock that jumps backwards can't make a grant valid again.
 func (gr Grant) Valid(now clock.Milli) bool {
 	return gr.fence > 0 && now >= gr.sentAt && now < gr.sentAt+TTL
 }
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { golden.Main(m) }
 
-// TestSessions plays whole sessions of acquisitions, renewals and releases.
+// TestSessions runs sequences of acquisitions, renewals and releases.
 func TestSessions(t *testing.T) {
 	golden.Run(t, "*.txtar", func(_ *testing.T, sections map[string]string) string {
 		var bk Book
@@ -33,8 +33,8 @@
 	})
 }
 
-// holder models one instance that appends for the lease and acts under it. Its
-// clock may be off and it may be paused anywhere.
+// holder models an instance that appends for the lease and acts under it. Its clock may be
+// skewed and it may be paused at any point.
 type holder struct {
 	name   ident.Incarnation
 	skew   clock.Milli
@@ -43,9 +43,9 @@
 	grant  Grant
 }
 
-// TestOneHolderAtATime: instances append, renew, lose replies, repeat, are
-// paused and read late. At no instant of true time do two of them find their
-// grant valid, and the fencing number of whoever may act only grows.
+// TestOneHolderAtATime: instances append, renew, lose replies, repeat appends, are paused
+// and read late. At no point in true time do two of them have a valid grant, and the
+// fencing numbers of the successive holders only increase.
 func TestOneHolderAtATime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log []oplog.Record
@@ -55,7 +55,7 @@
 		for i := range holders {
 			holders[i] = &holder{name: ident.Incarnation(fmt.Sprintf("i%d#1", i)), skew: clock.Milli(rapid.IntRange(-5000, 5000).Draw(t, "skew"))}
 		}
-		var flying []Entry
+		var inFlight []Entry
 		arrive := func(ent Entry) {
 			log = append(log, oplog.Record{Offset: int64(len(log) + 1), At: now, Body: ent.Encode()})
 			bk.Apply(log[len(log)-1:])
@@ -66,16 +66,16 @@
 			hld := holders[rapid.IntRange(0, 2).Draw(t, "who")]
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0, 1, 2:
-				// An append; its record comes at once, later or never.
+				// An append; its record arrives immediately, later or never.
 				hld.sentID, hld.sentAt = fmt.Sprint(step), now+hld.skew
 				ent := Entry{Kind: KindAcquire, Name: "orders", Holder: hld.name, ID: hld.sentID}
-				flying = append(flying, ent)
+				inFlight = append(inFlight, ent)
 				if rapid.Bool().Draw(t, "prompt") {
 					arrive(ent)
 				}
 			case 3:
-				if len(flying) > 0 {
-					arrive(flying[rapid.IntRange(0, len(flying)-1).Draw(t, "which")])
+				if len(inFlight) > 0 {
+					arrive(inFlight[rapid.IntRange(0, len(inFlight)-1).Draw(t, "which")])
 				}
 			default:
 				ten, _ := bk.Find("orders")
@@ -94,16 +94,16 @@
 				}
 			}
 			if valid > 1 {
-				t.Fatalf("%d holders act at %d", valid, now)
+				t.Fatalf("%d holders have a valid grant at %d", valid, now)
 			}
 		}
 	})
 }
 
-// TestPausedHolderKnows: a holder is paused from its append on. At the first
-// instant at which another can acquire the lease, the first one, should it wake,
-// finds its own grant over, and so for the whole flight of an order before.
-func TestPausedHolderKnows(t *testing.T) {
+// TestPausedHolderLosesGrant: a holder is paused after its append. At the earliest time at
+// which another instance can acquire the lease, the first holder's grant is no longer
+// valid, and has not been for the time that an order may be in flight.
+func TestPausedHolderLosesGrant(t *testing.T) {
 	var bk Book
 	acquire := func(offset int64, who ident.Incarnation, at clock.Milli) Tenure {
 		ent := Entry{Kind: KindAcquire, Name: "orders", Holder: who, ID: string(who)}
@@ -114,12 +114,12 @@
 	first := acquire(1, "i1", 1000)
 	grant := NewGrant(first.Fence(), 1000)
 	at := clock.Milli(1000)
-	for offset := int64(2); bk.held["orders"].Holder() == "i1"; offset++ {
+	for offset := int64(2); bk.leases["orders"].Holder() == "i1"; offset++ {
 		at += 100
 		acquire(offset, "i2", at)
 	}
 	if grant.Valid(at) || grant.Valid(at-Flight) {
-		t.Fatalf("at %d another holds the lease and the first believes in it until %d", at, 1000+TTL)
+		t.Fatalf("at %d another instance holds the lease and the grant of the first is valid until %d", at, 1000+TTL)
 	}
 }
 
--- a/pkg/oplog/registry.go
+++ b/pkg/oplog/registry.go
@@ -11,7 +11,7 @@
 
 //go:generate go tool stringer -type=Verdict -linecomment -output=verdict_string.go
 
-// Verdict is what the fold made of an offer.
+// Verdict is the decision on an offer.
 type Verdict int
 
 // The verdicts.
@@ -22,16 +22,16 @@
 	Invalid                  // invalid
 )
 
-// historyLength bounds how many decisions are kept a service, and tailLength
-// how many offer ids are remembered to recognise a doubled append. An append
-// is repeated within seconds; 256 offers are more than two minutes at the
-// design's 17,000 changes a day, bunched a hundredfold.
+// historyLength is the number of decisions kept per service, recentLength the number of
+// offer ids remembered to detect repeated appends. An append is repeated within seconds;
+// 256 offers cover more than two minutes at the design's 17,000 changes a day, in bursts of
+// a hundred times that rate.
 const (
 	historyLength = 32
-	tailLength    = 256
+	recentLength  = 256
 )
 
-// Decision is the fold's answer to one offer.
+// Decision is the decision on one offer.
 type Decision struct {
 	id      string
 	service string
@@ -43,29 +43,29 @@
 	detail  string
 }
 
-// ID names the offer.
+// ID returns the id of the offer.
 func (dec Decision) ID() string { return dec.id }
 
-// Service names the service that the offer speaks of.
+// Service returns the service of the offer.
 func (dec Decision) Service() string { return dec.service }
 
-// By names the operator.
+// By returns the operator.
 func (dec Decision) By() string { return dec.by }
 
-// Base gives the revision that the offer was written against.
+// Base returns the revision that the offer is based on.
 func (dec Decision) Base() int64 { return dec.base }
 
-// Offset gives the offer's place in the log; it is the new revision when the
-// verdict is accepted.
+// Offset returns the offset of the offer in the log; it is the new revision if the offer is
+// accepted.
 func (dec Decision) Offset() int64 { return dec.offset }
 
-// At gives the instant at which the log took the offer.
+// At returns the time at which the log appended the offer.
 func (dec Decision) At() clock.Milli { return dec.at }
 
-// Verdict gives what became of the offer.
+// Verdict returns the verdict.
 func (dec Decision) Verdict() Verdict { return dec.verdict }
 
-// Detail tells a person why an offer was not accepted.
+// Detail describes why an offer was not accepted; it is meant for people.
 func (dec Decision) Detail() string { return dec.detail }
 
 // Held is a document in force with its revision.
@@ -76,35 +76,35 @@
 	seenAt   clock.Milli
 }
 
-// Doc gives the checked document.
+// Doc returns the checked document.
 func (hld Held) Doc() *svcdoc.Document { return hld.doc }
 
-// Text gives the document as its owner wrote it.
+// Text returns the document as its owner wrote it.
 func (hld Held) Text() string { return hld.text }
 
-// Revision gives the offset of the offer that brought the document.
+// Revision returns the offset of the offer that introduced the document.
 func (hld Held) Revision() int64 { return hld.revision }
 
-// Registry is the fold over the documents' stream. The zero value has read
-// nothing and expects offset 1. It is not safe for concurrent use: the control
-// thread owns it.
+// Registry is the replicated state machine over the documents' stream. The zero value has
+// read nothing and expects offset 1. It is not safe for concurrent use; it is owned by the
+// control loop.
 type Registry struct {
-	applied  int64
-	held     map[string]Held
-	history  map[string][]Decision
-	tail     []Decision
-	boot     *bootstrap
-	manifest clock.Milli
-	// marker is the offset of the last manifest or reset, wanted that of the
-	// last record that asked for one.
-	marker int64
-	wanted int64
+	applied    int64
+	docs       map[string]Held
+	history    map[string][]Decision
+	recent     []Decision
+	boot       *bootstrap
+	manifestAt clock.Milli
+	// marker is the offset of the last manifest or reset, stateRequest that of the last
+	// state request.
+	marker       int64
+	stateRequest int64
 }
 
-// Applied gives the offset of the last record that the state includes.
+// Applied returns the offset of the last record that the state includes.
 func (reg *Registry) Applied() int64 { return reg.applied }
 
-// Next gives the offset to read from.
+// Next returns the offset to read from.
 func (reg *Registry) Next() int64 {
 	if reg.boot != nil {
 		return reg.boot.next
@@ -112,41 +112,40 @@
 	return reg.applied + 1
 }
 
-// Ready tells whether the state is that of some offset; false while a restart
-// is under way.
+// Ready reports whether the state is complete as of some offset; it is not during a
+// restart.
 func (reg *Registry) Ready() bool { return reg.boot == nil }
 
-// ManifestAt gives the instant of the last manifest seen, zero if none.
-func (reg *Registry) ManifestAt() clock.Milli { return reg.manifest }
+// ManifestAt returns the time of the last manifest, zero if there was none.
+func (reg *Registry) ManifestAt() clock.Milli { return reg.manifestAt }
 
-// Held gives a service's document in force.
+// Held returns the document in force of a service.
 func (reg *Registry) Held(service string) (Held, bool) {
-	hld, ok := reg.held[service]
+	hld, ok := reg.docs[service]
 	return hld, ok
 }
 
-// All gives a copy of all documents in force, by service.
-func (reg *Registry) All() map[string]Held { return maps.Clone(reg.held) }
+// All returns a copy of all documents in force, by service.
+func (reg *Registry) All() map[string]Held { return maps.Clone(reg.docs) }
 
-// History gives a service's last decisions, oldest first.
+// History returns a service's last decisions, oldest first.
 func (reg *Registry) History(service string) []Decision {
 	return slices.Clone(reg.history[service])
 }
 
-// Find looks an offer up by its id among the last decisions.
+// Find returns the decision on an offer by its id, among the last decisions.
 func (reg *Registry) Find(id string) (Decision, bool) {
-	for i := len(reg.tail) - 1; i >= 0; i-- {
-		if reg.tail[i].id == id {
-			return reg.tail[i], true
+	for i := len(reg.recent) - 1; i >= 0; i-- {
+		if reg.recent[i].id == id {
+			return reg.recent[i], true
 		}
 	}
 	return Decision{}, false
 }
 
-// Apply takes the next records in the order of their offsets. Records that
-// were applied before are skipped. A gap ends the call: the records after it
-// are left, and gap is true, for the caller must read the missing ones or
-// restart.
+// Apply applies the next records in the order of their offsets. Records that were applied
+// before are skipped. It stops at a missing record, and gap is then true: the caller must
+// read the missing records or restart.
 func (reg *Registry) Apply(recs []Record) (decided []Decision, gap bool) {
 	for _, rec := range recs {
 		if rec.Offset < reg.Next() {
@@ -156,7 +155,7 @@
 			return decided, true
 		}
 		if reg.boot != nil {
-			decided = append(decided, reg.bootApply(rec)...)
+			decided = append(decided, reg.buffer(rec)...)
 			continue
 		}
 		decided = append(decided, reg.step(rec)...)
@@ -164,60 +163,60 @@
 	return decided, false
 }
 
-// step applies one record to a state that is complete up to the one before.
+// step applies one record to a state that is complete up to the record before.
 func (reg *Registry) step(rec Record) []Decision {
 	reg.applied = rec.Offset
 	var ent Entry
 	if json.Unmarshal(rec.Body, &ent) != nil {
-		// Not ours, or damaged: every instance skips it alike.
+		// Damaged or of unknown origin: every instance skips it alike.
 		return nil
 	}
 	switch ent.Kind {
 	case KindOffer:
-		return reg.offer(rec, ent)
+		return reg.applyOffer(rec, ent)
 	case KindSnapshot:
-		reg.refresh(rec, ent)
+		reg.applySnapshot(rec, ent)
 	case KindManifest:
-		reg.manifest = max(reg.manifest, rec.At)
+		reg.manifestAt = max(reg.manifestAt, rec.At)
 		reg.marker = rec.Offset
 	case KindWanted:
-		reg.wanted = rec.Offset
+		reg.stateRequest = rec.Offset
 	case KindReset:
-		reg.reset(rec, ent)
+		reg.applyReset(rec, ent)
 	}
 	return nil
 }
 
-// reset drops all documents, if the reset holds: whoever has a state answers a
-// record that wants one with a manifest, so that a reset holds only if no manifest
-// and no other reset stands between. A reset that reaches the log late, or twice,
-// would otherwise drop documents that were accepted since.
-func (reg *Registry) reset(rec Record, ent Entry) {
+// applyReset drops all documents if the reset is valid. An instance with a state answers a
+// state request with a manifest, so that a reset is valid only if no manifest and no other
+// reset lies between the request and it. Otherwise a late or repeated reset would drop
+// documents that were accepted since.
+func (reg *Registry) applyReset(rec Record, ent Entry) {
 	if ent.AsOf > reg.marker {
-		reg.held, reg.tail, reg.manifest = nil, nil, 0
+		reg.docs, reg.recent, reg.manifestAt = nil, nil, 0
 	}
 	reg.marker = rec.Offset
 }
 
-// IsWanted tells whether a reader asked for the state and no manifest has come
-// since.
-func (reg *Registry) IsWanted() bool { return reg.Ready() && reg.wanted > reg.marker }
+// IsWanted reports whether a state request is unanswered: no manifest or reset has followed
+// it.
+func (reg *Registry) IsWanted() bool { return reg.Ready() && reg.stateRequest > reg.marker }
 
-func (reg *Registry) offer(rec Record, ent Entry) []Decision {
+func (reg *Registry) applyOffer(rec Record, ent Entry) []Decision {
 	if _, seen := reg.Find(ent.ID); seen || ent.ID == "" {
 		return nil
 	}
 	dec := Decision{id: ent.ID, service: ent.Service, by: ent.By, base: ent.Base, offset: rec.Offset, at: rec.At}
-	doc, verdict, detail := reg.judge(ent)
+	doc, verdict, detail := reg.validate(ent)
 	dec.verdict, dec.detail = verdict, detail
 	if verdict == Accepted {
 		reg.put(ent.Service, Held{doc: doc, text: ent.Text, revision: rec.Offset, seenAt: rec.At})
 	}
-	reg.note(dec)
+	reg.record(dec)
 	return []Decision{dec}
 }
 
-func (reg *Registry) judge(ent Entry) (*svcdoc.Document, Verdict, string) {
+func (reg *Registry) validate(ent Entry) (*svcdoc.Document, Verdict, string) {
 	if len(ent.Text) > svcdoc.MaxBytes {
 		return nil, Invalid, "the document is too large"
 	}
@@ -226,41 +225,41 @@
 		return nil, Invalid, fts.Err().Error()
 	}
 	if doc.Name() != ent.Service {
-		return nil, Invalid, "the document names another service: " + doc.Name()
+		return nil, Invalid, "the document is of another service: " + doc.Name()
 	}
-	if cur := reg.held[ent.Service].revision; cur != ent.Base {
+	if cur := reg.docs[ent.Service].revision; cur != ent.Base {
 		return nil, LostRace, "another change came first"
 	}
 	return doc, Accepted, ""
 }
 
-// refresh notes that a document's text has been appended again, so that it is
-// not appended anew too soon. A snapshot of an older revision changes nothing.
-func (reg *Registry) refresh(rec Record, ent Entry) {
-	hld, ok := reg.held[ent.Service]
+// applySnapshot records that a document was appended again, so that the next append is not
+// due too soon. A snapshot of an older revision has no effect.
+func (reg *Registry) applySnapshot(rec Record, ent Entry) {
+	hld, ok := reg.docs[ent.Service]
 	if ok && hld.revision == ent.Revision {
 		hld.seenAt = rec.At
-		reg.held[ent.Service] = hld
+		reg.docs[ent.Service] = hld
 	}
 }
 
 func (reg *Registry) put(service string, hld Held) {
-	if reg.held == nil {
-		reg.held = map[string]Held{}
+	if reg.docs == nil {
+		reg.docs = map[string]Held{}
 	}
-	reg.held[service] = hld
+	reg.docs[service] = hld
 }
 
-func (reg *Registry) note(dec Decision) {
+func (reg *Registry) record(dec Decision) {
 	if reg.history == nil {
 		reg.history = map[string][]Decision{}
 	}
-	// A service that was never accepted has no history: offers with made-up
-	// names would otherwise fill the memory.
-	if _, ok := reg.held[dec.service]; ok {
+	// A service that was never accepted has no history, so that offers with invented names
+	// can't exhaust the memory.
+	if _, ok := reg.docs[dec.service]; ok {
 		reg.history[dec.service] = lastOf(append(reg.history[dec.service], dec), historyLength)
 	}
-	reg.tail = lastOf(append(reg.tail, dec), tailLength)
+	reg.recent = lastOf(append(reg.recent, dec), recentLength)
 }
 
 func lastOf(list []Decision, most int) []Decision {
--- a/pkg/oplog/registry_test.go
+++ b/pkg/oplog/registry_test.go
@@ -16,21 +16,21 @@
 
 func TestMain(m *testing.M) { golden.Main(m) }
 
-// text gives a small valid document of a service with a mark in it.
+// text returns a small valid document of a service that contains a mark.
 func text(service, mark string) string {
 	return fmt.Sprintf("name = %q\nowner = %q\n[[stage]]\nkind = \"encode\"\npool = \"p\"\n[[workspace]]\nname = \"w\"\n", service, mark)
 }
 
 func (reg *Registry) revisions() string {
 	var parts []string
-	for _, service := range slices.Sorted(maps.Keys(reg.held)) {
-		parts = append(parts, fmt.Sprintf("%s@%d(%s)", service, reg.held[service].revision, reg.held[service].doc.Owner()))
+	for _, service := range slices.Sorted(maps.Keys(reg.docs)) {
+		parts = append(parts, fmt.Sprintf("%s@%d(%s)", service, reg.docs[service].revision, reg.docs[service].doc.Owner()))
 	}
 	return strings.Join(parts, " ")
 }
 
-// TestSessions plays whole sessions: offers, snapshots, manifests, a reader
-// that starts over, records read twice or out of order.
+// TestSessions runs sequences of offers, snapshots, manifests, restarts of the reader, and
+// records that are repeated or out of order.
 func TestSessions(t *testing.T) {
 	golden.Run(t, "*.txtar", func(_ *testing.T, sections map[string]string) string {
 		var reg Registry
@@ -62,8 +62,8 @@
 	})
 }
 
-// history makes a random log of operators' offers and of snapshots that
-// instances took at any earlier state of theirs, lagging ones included.
+// history generates a random log of operators' offers and of snapshots that instances,
+// including lagging ones, appended from any earlier state.
 func history(t *rapid.T) []Record {
 	var log []Record
 	var wanted []int64
@@ -83,7 +83,7 @@
 			ents = []Entry{{Kind: KindWanted}}
 			wanted = append(wanted, int64(len(log)+1))
 		case 3:
-			// A reset may come late, or twice.
+			// A reset may be late or repeated.
 			if len(wanted) > 0 {
 				ents = []Entry{{Kind: KindReset, AsOf: rapid.SampledFrom(wanted).Draw(t, "as of")}}
 			}
@@ -100,9 +100,9 @@
 	return log
 }
 
-// TestEveryReaderAgrees: a reader that reads from the start, one that reads in
-// other batches with repeats, and one that starts where the log was cut, hold
-// the same documents as soon as they are ready at the same offset.
+// TestEveryReaderAgrees: a reader that reads from the start, one that reads in other
+// batches with repeats, and one that starts at a trimmed log have the same documents as
+// soon as they are ready at the same offset.
 func TestEveryReaderAgrees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := history(t)
@@ -113,12 +113,12 @@
 		late.Restart(int64(start))
 		late.Apply(log[start-1:])
 		if late.Ready() && late.revisions() != whole.revisions() {
-			t.Fatalf("whole %s, late from %d %s", whole.revisions(), start, late.revisions())
+			t.Fatalf("documents differ: complete reader %s, reader from offset %d %s", whole.revisions(), start, late.revisions())
 		}
 	})
 }
 
-// hasReset tells whether a reset, holding or not, stands in the log.
+// hasReset reports whether the log contains a reset, valid or not.
 func hasReset(log []Record) bool {
 	for _, rec := range log {
 		if strings.Contains(string(rec.Body), `"kind":"reset"`) {
@@ -128,9 +128,9 @@
 	return false
 }
 
-// TestNeverReverts: whatever a reader is fed, in any order, repeated, from an
-// older state of a peer or after the log was cut, its offset and the revision
-// of each service only grow. Only a reset that holds takes a service away.
+// TestNeverReverts: whatever a reader is given, in any order, repeated, from an older state
+// of another instance or after the log was trimmed, its offset and the revision of each
+// service never decrease. Only a valid reset removes a service.
 func TestNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := history(t)
@@ -165,15 +165,15 @@
 	})
 }
 
-// TestLateResetDoesNothing: a reader wanted a state, was given one, and its reset
-// comes all the same, twice. No document is dropped.
+// TestLateResetDoesNothing: a reader requests the state and receives it, and its reset is
+// still appended, twice. No document is dropped.
 func TestLateResetDoesNothing(t *testing.T) {
 	var reg Registry
 	put := func(offset int64, ent Entry) { reg.Apply([]Record{{Offset: offset, At: 1, Body: ent.Encode()}}) }
 	put(1, Entry{Kind: KindOffer, ID: "o", Service: "a", Text: text("a", "x")})
 	put(2, Entry{Kind: KindWanted})
 	if !reg.IsWanted() {
-		t.Fatal("nobody would answer")
+		t.Fatal("the state request is not pending")
 	}
 	for i, ent := range reg.Snapshot(10) {
 		put(int64(3+i), ent)
--- a/pkg/oplog/slope_test.go
+++ b/pkg/oplog/slope_test.go
@@ -10,7 +10,7 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// large gives a document with so many workspaces.
+// large returns a document with the given number of workspaces.
 func large(service string, workspaces int) string {
 	var out strings.Builder
 	out.WriteString(text(service, "owner"))
@@ -20,8 +20,8 @@
 	return out.String()
 }
 
-// TestSlopes measures what documents cost at two sizes of document: memory held,
-// time to apply an offer, and the size of a state for a new instance.
+// TestSlopes measures the cost of documents of several sizes: memory, time to apply an
+// offer, and text size.
 func TestSlopes(t *testing.T) {
 	golden.Measuring(t)
 	const services = 17
--- a/pkg/oplog/snapshot.go
+++ b/pkg/oplog/snapshot.go
@@ -8,14 +8,14 @@
 	"amaranthvalve/pkg/svcdoc"
 )
 
-// bootstrap is the state of a reader that starts where records are missing.
+// bootstrap is the state of a reader that starts after trimmed records.
 type bootstrap struct {
-	start   int64
-	next    int64
-	records []Record
-	texts   map[textKey]string
-	marker  int64
-	wanted  int64
+	start        int64
+	next         int64
+	records      []Record
+	texts        map[textKey]string
+	marker       int64
+	stateRequest int64
 }
 
 type textKey struct {
@@ -23,11 +23,10 @@
 	revision int64
 }
 
-// Restart makes the registry start over at the oldest offset that the log
-// still has, because its next record has been forgotten. The documents held
-// stay in force until a usable manifest has been read; they are not dropped,
-// for an instance with old documents knows that it is behind (see Ready), one
-// without any would refuse every service as unknown.
+// Restart makes the registry start over at the oldest offset that the log still has,
+// because its next record has been trimmed. The documents in force stay until a usable
+// manifest has been read: an instance with outdated documents knows that it lags (see
+// Ready), whereas one without documents would refuse every service as unknown.
 func (reg *Registry) Restart(start int64) {
 	if start <= reg.Next() {
 		return
@@ -35,7 +34,7 @@
 	reg.boot = &bootstrap{start: start, next: start, texts: map[textKey]string{}}
 }
 
-func (reg *Registry) bootApply(rec Record) []Decision {
+func (reg *Registry) buffer(rec Record) []Decision {
 	bst := reg.boot
 	bst.next = rec.Offset + 1
 	bst.records = append(bst.records, rec)
@@ -54,7 +53,7 @@
 		}
 		bst.marker = rec.Offset
 	case KindWanted:
-		bst.wanted = rec.Offset
+		bst.stateRequest = rec.Offset
 	case KindReset:
 		if ent.AsOf >= bst.start && ent.AsOf > bst.marker {
 			reg.load(State{Applied: rec.Offset, Marker: rec.Offset})
@@ -65,18 +64,18 @@
 	return nil
 }
 
-// Asked gives the offset of the last record that wants a state and is still
-// without an answer, while a restart is under way; zero if there is none.
+// Asked returns the offset of the last unanswered state request during a restart; zero if
+// there is none.
 func (reg *Registry) Asked() int64 {
-	if reg.boot == nil || reg.boot.wanted <= reg.boot.marker {
+	if reg.boot == nil || reg.boot.stateRequest <= reg.boot.marker {
 		return 0
 	}
-	return reg.boot.wanted
+	return reg.boot.stateRequest
 }
 
-// usable tells whether the state after the manifest's as-of offset can be
-// built: no record between that offset and the first one read is missing, and
-// each listed text has been read.
+// usable reports whether the state as of the manifest's offset can be built: no record
+// between that offset and the first one read is missing, and each listed text has been
+// read.
 func (bst *bootstrap) usable(ent Entry) bool {
 	if ent.AsOf < bst.start-1 {
 		return false
@@ -89,7 +88,7 @@
 	return true
 }
 
-// adopt builds the manifest's state and applies what was buffered after it.
+// adopt loads the manifest's state and applies the records buffered after it.
 func (reg *Registry) adopt(rec Record, ent Entry) []Decision {
 	bst := reg.boot
 	st := State{Applied: ent.AsOf, Tail: ent.Tail, Marker: ent.Marker}
@@ -98,7 +97,7 @@
 		st.Docs = append(st.Docs, StateDoc{Service: service, Revision: revision, Text: text, SeenAt: rec.At})
 	}
 	reg.load(st)
-	reg.manifest = rec.At
+	reg.manifestAt = rec.At
 	var decided []Decision
 	for _, old := range bst.records {
 		if old.Offset > reg.applied {
@@ -108,8 +107,8 @@
 	return decided
 }
 
-// State is a registry's content as one instance hands it to another, for a
-// start while the log is out. It is complete as of Applied.
+// State is a registry's content, complete as of Applied. Instances exchange it to start
+// while the log is unavailable.
 type State struct {
 	Applied int64      `cbor:"1,keyasint"`
 	Docs    []StateDoc `cbor:"2,keyasint"`
@@ -125,22 +124,20 @@
 	SeenAt   clock.Milli `cbor:"4,keyasint"`
 }
 
-// State gives the registry's content for another instance; ok is false while a
-// restart is under way.
+// State returns the registry's content for another instance; ok is false during a restart.
 func (reg *Registry) State() (st State, ok bool) {
 	if !reg.Ready() {
 		return State{}, false
 	}
-	st = State{Applied: reg.applied, Tail: reg.tailIDs(), Marker: reg.marker}
-	for service, hld := range reg.held {
+	st = State{Applied: reg.applied, Tail: reg.recentIDs(), Marker: reg.marker}
+	for service, hld := range reg.docs {
 		st.Docs = append(st.Docs, StateDoc{Service: service, Revision: hld.revision, Text: hld.text, SeenAt: hld.seenAt})
 	}
 	return st, true
 }
 
-// Load takes another instance's state if it is newer than the registry's own
-// and tells whether it did. An older one is ignored: the applied offset only
-// grows.
+// Load replaces the state by that of another instance if that one is newer, and reports
+// whether it did. An older one is ignored, since the applied offset never decreases.
 func (reg *Registry) Load(st State) bool {
 	if st.Applied <= reg.applied {
 		return false
@@ -152,47 +149,46 @@
 func (reg *Registry) load(st State) {
 	reg.boot = nil
 	reg.applied, reg.marker = st.Applied, st.Marker
-	reg.held = map[string]Held{}
+	reg.docs = map[string]Held{}
 	for _, sdoc := range st.Docs {
 		doc, _ := svcdoc.Parse([]byte(sdoc.Text))
 		if doc == nil {
-			// Another version of the program accepted what this one does not
-			// know. Dropping the service is seen at once (unknown_service);
-			// running it by half its rules is not.
+			// Another version of the program accepted a document that this one does not
+			// support. Dropping the service is noticed at once (unknown_service); applying
+			// only the supported part is not.
 			continue
 		}
-		reg.held[sdoc.Service] = Held{doc: doc, text: sdoc.Text, revision: sdoc.Revision, seenAt: sdoc.SeenAt}
+		reg.docs[sdoc.Service] = Held{doc: doc, text: sdoc.Text, revision: sdoc.Revision, seenAt: sdoc.SeenAt}
 	}
-	reg.tail = nil
+	reg.recent = nil
 	for _, id := range st.Tail {
-		reg.tail = append(reg.tail, Decision{id: id})
+		reg.recent = append(reg.recent, Decision{id: id})
 	}
 }
 
-func (reg *Registry) tailIDs() []string {
-	ids := make([]string, len(reg.tail))
-	for i, dec := range reg.tail {
+func (reg *Registry) recentIDs() []string {
+	ids := make([]string, len(reg.recent))
+	for i, dec := range reg.recent {
 		ids[i] = dec.id
 	}
 	return ids
 }
 
-// Snapshot gives the entries to append, in order, so that the state outlives
-// the records that it came from: documents that were last appended before
-// olderThan, then the manifest. It returns nothing while a restart is under
-// way or while the last manifest is younger than olderThan.
+// Snapshot returns the entries to append, in order, so that the state outlives the records
+// that it was built from: documents last appended before olderThan, then the manifest. It
+// returns nothing during a restart or if the last manifest is not older than olderThan.
 func (reg *Registry) Snapshot(olderThan clock.Milli) []Entry {
-	if !reg.Ready() || reg.applied == 0 || reg.manifest >= olderThan {
+	if !reg.Ready() || reg.applied == 0 || reg.manifestAt >= olderThan {
 		return nil
 	}
 	var ents []Entry
 	revisions := map[string]int64{}
-	for service, hld := range reg.held {
+	for service, hld := range reg.docs {
 		revisions[service] = hld.revision
 		if hld.seenAt < olderThan {
 			ents = append(ents, Entry{Kind: KindSnapshot, Service: service, Revision: hld.revision, Text: hld.text})
 		}
 	}
 	slices.SortFunc(ents, func(x, y Entry) int { return int(x.Revision - y.Revision) })
-	return append(ents, Entry{Kind: KindManifest, AsOf: reg.applied, Revisions: revisions, Tail: reg.tailIDs(), Marker: reg.marker})
+	return append(ents, Entry{Kind: KindManifest, AsOf: reg.applied, Revisions: revisions, Tail: reg.recentIDs(), Marker: reg.marker})
 }
--- a/pkg/outcm/outcm.go
+++ b/pkg/outcm/outcm.go
@@ -9,10 +9,10 @@
 
 //go:generate go tool stringer -type=Outcome,Reason -linecomment -output=outcm_string.go
 
-// Outcome is what became of a request.
+// Outcome is the outcome of a request.
 type Outcome int
 
-// The outcomes. The zero value stands for a request that is still under way.
+// The outcomes. The zero value is that of a request in progress.
 const (
 	Pending Outcome = iota // pending
 	Done                   // done
@@ -21,7 +21,7 @@
 	Failed                 // failed
 )
 
-// Reason tells why an outcome is not done, or how it came to be done.
+// Reason is the cause of an outcome.
 type Reason int
 
 // The reasons.
@@ -65,8 +65,7 @@
 	Quarantined                      // quarantined
 )
 
-// Reasons lists every reason, for the counters and for tests that must cover
-// them all.
+// Reasons returns all reasons, for the counters and for tests that must cover every reason.
 func Reasons() []Reason {
 	all := make([]Reason, 0, int(Quarantined)+1)
 	for rs := None; rs <= Quarantined; rs++ {
@@ -95,8 +94,8 @@
 	return None, fmt.Errorf("reason %q: not a known reason", text)
 }
 
-// Result is an outcome with its reason and, for a refusal, the span after
-// which a caller may come back. The zero value is a pending request.
+// Result is an outcome with its reason and, for a refusal, the retry-after delay. The zero
+// value is a pending request.
 type Result struct {
 	outcome    Outcome
 	reason     Reason
@@ -104,13 +103,12 @@
 	detail     string
 }
 
-// New returns a result without a time to come back.
+// New returns a result without a retry-after delay.
 func New(oc Outcome, rs Reason, detail string) Result {
 	return Result{outcome: oc, reason: rs, detail: detail}
 }
 
-// Refuse returns a refusal: nothing ran, and the caller may come back after
-// the given span.
+// Refuse returns a refusal: nothing ran, and the caller may retry after the given delay.
 func Refuse(rs Reason, retryAfter clock.Milli, detail string) Result {
 	return Result{outcome: NotRun, reason: rs, retryAfter: retryAfter, detail: detail}
 }
@@ -118,39 +116,38 @@
 // OK returns the result of a request that ran and was answered.
 func OK() Result { return Result{outcome: Done} }
 
-// Outcome gives what became of the request.
+// Outcome returns the outcome of the request.
 func (res Result) Outcome() Outcome { return res.outcome }
 
-// Reason gives the cause.
+// Reason returns the cause of the outcome.
 func (res Result) Reason() Reason { return res.reason }
 
-// RetryAfter gives the span after which to come back; zero says nothing.
+// RetryAfter returns the retry-after delay; zero if there is none.
 func (res Result) RetryAfter() clock.Milli { return res.retryAfter }
 
-// Detail gives a sentence for a person; programs read the reason.
+// Detail returns a description for people; programs use the reason.
 func (res Result) Detail() string { return res.detail }
 
-// IsRefusal tells whether nothing ran.
+// IsRefusal reports whether nothing ran.
 func (res Result) IsRefusal() bool { return res.outcome == NotRun }
 
-// Seal makes a refusal honest for a non-idempotent request. "not_run" speaks
-// of the request and not of this attempt at it: an instance that has not
-// looked the key up cannot know whether an earlier attempt, sent to another
-// instance, ran. Unless the caller vouches that the key was never sent before
-// (first) or the key was looked up in the log (looked), a refusal is turned
-// into unknown. Without this a caller that repeats a timed out booking at an
-// overloaded instance is told "not run", books by telephone and has two crews
-// in one block.
+// Seal limits a refusal of a non-idempotent request to what is known. "not_run" applies to
+// the request and not to this attempt: an instance that has not looked up the key can't
+// know whether an earlier attempt, sent to another instance, ran. Unless the caller
+// declares that the key was never sent before (first) or the key was looked up in the log
+// (looked), a refusal becomes unknown. Otherwise a caller that repeats a timed-out booking
+// at an overloaded instance is answered "not run", books by telephone and has two crews in
+// one block.
 func (res Result) Seal(first, looked bool) Result {
 	if res.outcome != NotRun || first || looked {
 		return res
 	}
 	res.outcome = Unknown
-	res.detail = "this attempt did not run, whether an earlier one ran is not known here: " + res.detail
+	res.detail = "this attempt did not run; whether an earlier one ran is unknown: " + res.detail
 	return res
 }
 
-// Status gives the HTTP status code that fits the result.
+// Status returns the HTTP status code of the result.
 func (res Result) Status() int {
 	if res.outcome == Done {
 		return http.StatusOK
--- a/pkg/outcm/outcm_test.go
+++ b/pkg/outcm/outcm_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestNamesAreUnique: every reason has a name of its own that reads back, for a
-// counter and a caller's program go by it.
+// TestNamesAreUnique: every reason has a unique name that can be parsed again, since
+// counters and callers' programs rely on it.
 func TestNamesAreUnique(t *testing.T) {
 	seen := map[string]bool{}
 	for _, rs := range Reasons() {
@@ -17,7 +17,7 @@
 		seen[rs.String()] = true
 	}
 	if _, err := ParseOutcome("maybe"); err == nil {
-		t.Error("an unknown outcome is taken")
+		t.Error("ParseOutcome accepts an unknown outcome")
 	}
 }
 
--- a/pkg/svcdoc/check.go
+++ b/pkg/svcdoc/check.go
@@ -13,13 +13,13 @@
 
 // Bounds of a document.
 const (
-	// MaxBytes bounds a document's text: 1,100 workspaces of about 150 bytes
-	// take 165 KB.
+	// MaxBytes is the maximum size of a document: 1,100 workspaces of about 150 bytes take
+	// 165 KB.
 	MaxBytes = 256 << 10
-	// MaxDeadline bounds a deadline.
+	// MaxDeadline is the maximum deadline.
 	MaxDeadline = 10 * clock.Minute
-	// MaxKeyLife bounds a key's life. It stays below the log's retention, see
-	// package claim.
+	// MaxKeyLife is the maximum life of a key. It is below the log's retention, see package
+	// claim.
 	MaxKeyLife = clock.Day
 
 	// MaxPriority is the highest priority.
@@ -29,12 +29,12 @@
 	maxWorkspaces = 2000
 )
 
-// Defaults of what a document may leave out.
+// Defaults of optional keys.
 const (
 	defaultPriority = 5
 	defaultDeadline = 12 * clock.Second
 	defaultKeyLife  = clock.Hour
-	defaultNeed     = 20 * clock.Milli(1)
+	defaultEstimate = 20 * clock.Milli(1)
 	defaultRate     = 100.0
 	defaultInFlight = 64
 )
@@ -60,12 +60,11 @@
 	chk.requests()
 	chk.workspaces()
 	if raw.Owner == "" {
-		chk.fts.Warn("owner", "no owner: nobody will know whom to ask about this service")
+		chk.fts.Warn("owner", "no owner: there is no contact for this service")
 	}
 }
 
-// defaults fills what the file does not set; a zero that it does set stays and
-// is judged.
+// defaults sets the keys that the document omits; an explicit zero stays and is checked.
 func (chk *checker) defaults() {
 	raw := &chk.doc.raw
 	if !chk.fts.Has("priority") {
@@ -114,16 +113,16 @@
 	for i := range raw.Stage {
 		chk.stage(fmt.Sprintf("stage[%d]", i), &raw.Stage[i], seen)
 	}
-	chk.order()
+	chk.buildGraph()
 	need := chk.doc.graph.Longest(func(stg int) clock.Milli { return clock.Milli(raw.Stage[stg].NeedMs) })
 	if need > clock.Milli(raw.DeadlineMs) {
 		chk.fts.Warn("deadline_ms", "the stages' need_ms add up to %d ms, the deadline is %d ms: every request would be refused", need, raw.DeadlineMs)
 	}
 }
 
-// order reads which stages take the results of which. A stage that names none takes
-// those of the stage before it, so that a plain list is a line.
-func (chk *checker) order() {
+// buildGraph builds the graph of data dependencies. A stage that names none takes the result of
+// the stage before it, so that a plain list is a chain.
+func (chk *checker) buildGraph() {
 	after := make([][]int, len(chk.doc.raw.Stage))
 	taken := make([]bool, len(after))
 	for i := range after {
@@ -134,14 +133,15 @@
 	}
 	for i := range taken[:max(len(taken)-1, 0)] {
 		if !taken[i] {
-			chk.fts.Add(fmt.Sprintf("stage[%d].name", i), "no stage takes the result of %q; only the last one's is the answer", chk.doc.raw.Stage[i].Name)
+			chk.fts.Add(fmt.Sprintf("stage[%d].name", i), "no stage takes the result of %q; only that of the last stage is the answer", chk.doc.raw.Stage[i].Name)
 		}
 	}
-	// Stages take from earlier ones alone, so there is no circle that could fail.
+	// Stages take results of earlier ones only, so that there is no cycle and New can't
+	// fail.
 	chk.doc.graph, _ = graph.New(after)
 }
 
-// after gives the numbers of the stages whose results a stage takes.
+// after returns the indices of the stages whose results a stage takes.
 func (chk *checker) after(i int) []int {
 	path := fmt.Sprintf("stage[%d].after", i)
 	if !chk.fts.Has(path) {
@@ -157,7 +157,7 @@
 		case pre < 0:
 			chk.fts.Add(path, "no stage above this one is named %q", name)
 		case slices.Contains(list, pre):
-			chk.fts.Add(path, "%q stands twice", name)
+			chk.fts.Add(path, "%q is listed twice", name)
 		default:
 			list = append(list, pre)
 		}
@@ -176,19 +176,19 @@
 	}
 	chk.name(path+".name", stg.Name)
 	if seen[stg.Name] {
-		chk.fts.Add(path+".name", "%q stands twice", stg.Name)
+		chk.fts.Add(path+".name", "%q is listed twice", stg.Name)
 	}
 	seen[stg.Name] = true
 	chk.name(path+".pool", stg.Pool)
 	if !chk.fts.Has(path + ".need_ms") {
-		stg.NeedMs = int64(defaultNeed)
+		stg.NeedMs = int64(defaultEstimate)
 	}
 	chk.span(path+".need_ms", stg.NeedMs, MaxDeadline)
 	if stg.NonIdempotent != nil && *stg.NonIdempotent && kind != Call {
 		chk.fts.Warn(path+".non_idempotent", "a stage of kind %s usually has no effect; it will never be retried", kind)
 	}
 	if stg.ChecksFencing && stg.Model == "" {
-		chk.fts.Warn(path+".checks_fencing", "no model is ordered here, so no order is sent that could be checked")
+		chk.fts.Warn(path+".checks_fencing", "the stage has no model, so that no orders are sent whose fencing number could be checked")
 	}
 }
 
@@ -204,7 +204,7 @@
 func (chk *checker) requests() {
 	raw := &chk.doc.raw
 	if len(raw.Request) == 0 {
-		raw.Request = []rawRequest{{Name: "run", NonIdempotent: chk.hasEffect()}}
+		raw.Request = []rawRequest{{Name: "run", NonIdempotent: chk.hasNonIdempotentStage()}}
 	}
 	seen := map[string]bool{}
 	for i := range raw.Request {
@@ -212,18 +212,18 @@
 		path := fmt.Sprintf("request[%d]", i)
 		chk.name(path+".name", req.Name)
 		if seen[req.Name] {
-			chk.fts.Add(path+".name", "%q stands twice", req.Name)
+			chk.fts.Add(path+".name", "%q is listed twice", req.Name)
 		}
 		seen[req.Name] = true
-		if !req.NonIdempotent && chk.hasEffect() {
-			// The stage itself is never retried, but nothing would stop the
-			// caller's own repeat from running it a second time.
+		if !req.NonIdempotent && chk.hasNonIdempotentStage() {
+			// The stage itself is never retried, but nothing would prevent a repeat by the
+			// caller from running it a second time.
 			chk.fts.Add(path+".non_idempotent", "must be true: the service has a non-idempotent stage")
 		}
 	}
 }
 
-func (chk *checker) hasEffect() bool {
+func (chk *checker) hasNonIdempotentStage() bool {
 	for i := range chk.doc.raw.Stage {
 		if i < len(chk.doc.kinds) && chk.doc.Stage(i).NonIdempotent() {
 			return true
@@ -246,7 +246,7 @@
 		path := fmt.Sprintf("workspace[%d]", i)
 		chk.name(path+".name", wsp.Name)
 		if seen[wsp.Name] {
-			chk.fts.Add(path+".name", "%q stands twice", wsp.Name)
+			chk.fts.Add(path+".name", "%q is listed twice", wsp.Name)
 		}
 		seen[wsp.Name] = true
 		chk.limits(path, wsp)
--- a/pkg/svcdoc/doc.go
+++ b/pkg/svcdoc/doc.go
@@ -1,29 +1,29 @@
-// Package svcdoc holds the service document: the one text by which a team
-// drives its service, and the checks that it must pass.
+// Package svcdoc defines the service document, by which a team configures its service, and
+// validates it.
 //
 // # Concepts
 //
-// A document is a TOML text, snake case, one per service. It names the
-// service, the kinds of request that callers may send (and which of them are
-// non-idempotent), the stages that a request runs through, the
-// workspaces that may call and their limits, the priority among services and
-// the deadline.
+// A document is a TOML text with keys in snake case, one per service. It names the service,
+// the kinds of request that callers may send (and which of them are non-idempotent), the
+// stages that a request passes through, the workspaces that may call and their limits, the
+// service's priority and the deadline.
 //
-// A stage names a pool of endpoints. Four kinds of stage have an effect on
-// nobody and may be run again: encode, retrieve, rerank and generate. A stage
-// of kind "call" runs a plain service; it is non-idempotent unless the
-// document says otherwise, because running it once too often books two crews
-// into one block, and running it once too seldom is seen and mended.
+// A stage names a pool of endpoints. Stages of the kinds encode, retrieve, rerank and
+// generate have no side effects and may be run again. A stage of kind "call" calls a plain
+// service; it is non-idempotent unless the document declares otherwise, because running it
+// once too often books two crews into one block, whereas running it once too seldom is
+// noticed and corrected.
 //
-// A stage takes the result of the stage before it, or those of the earlier stages that
-// it lists; one that lists none takes what the caller sent, and runs beside others. The
-// last stage makes the answer, and every other one's result is taken by some stage.
+// A stage takes the result of the stage before it, or those of the earlier stages that it
+// lists; a stage with an empty list takes the caller's input and runs in parallel to
+// others. The result of the last stage is the answer, and the result of every other stage
+// is taken by at least one stage.
 //
 // # Checks
 //
-// [Parse] reports all faults with path and line, see package place. A document
-// with faults is never accepted, by the command, by the instance it is sent to
-// or by the fold over the log: all three call the same function, so that no
-// instance can hold a document that another one refuses. Warnings tell of what
-// is legal and probably wrong, and stop nothing.
+// [Parse] reports all faults with path and line, see package place. A document with faults
+// is never accepted: the command, the instance that receives it and the state machine over
+// the log all call the same function, so that no instance can hold a document that another
+// one refuses. Warnings report what is legal but probably wrong; they do not prevent
+// acceptance.
 package svcdoc
--- a/pkg/svcdoc/raw.go
+++ b/pkg/svcdoc/raw.go
@@ -1,7 +1,7 @@
 package svcdoc
 
-// The raw types are the document's shape on paper. Each key is described in
-// docs/OPERATIONS.md; a test holds the two together.
+// The raw types mirror the document's format. Each key is described in docs/OPERATIONS.md;
+// a test keeps both consistent.
 
 type rawDoc struct {
 	Name       string         `toml:"name"`
--- a/pkg/svcdoc/svcdoc.go
+++ b/pkg/svcdoc/svcdoc.go
@@ -8,7 +8,7 @@
 
 //go:generate go tool stringer -type=Kind,Weighs -linecomment -output=svcdoc_string.go
 
-// Kind is what a stage does.
+// Kind is the kind of a stage.
 type Kind int
 
 // The kinds of stage, in the order in which a pipeline usually has them.
@@ -20,17 +20,18 @@
 	Call                 // call
 )
 
-// Weighs is what the owner of a service weighs more where both can't be had.
+// Weighs is the measure that the owner of a service prioritizes where both can't be
+// met.
 type Weighs int
 
-// The two measures of the brief.
+// The measures.
 const (
 	Attainment Weighs = iota // attainment
 	Cost                     // cost
 )
 
-// Document is a checked service document. The zero value names no service;
-// documents come from [Parse].
+// Document is a checked service document. The zero value names no service; documents are
+// returned by [Parse].
 type Document struct {
 	raw    rawDoc
 	kinds  []Kind
@@ -38,37 +39,38 @@
 	graph  graph.Graph
 }
 
-// Name gives the service's name.
+// Name returns the service's name.
 func (doc *Document) Name() string { return doc.raw.Name }
 
-// Owner gives the team that owns the document.
+// Owner returns the team that owns the document.
 func (doc *Document) Owner() string { return doc.raw.Owner }
 
-// Weighs gives the measure that the owner weighs more.
+// Weighs returns the measure that the owner prioritizes.
 func (doc *Document) Weighs() Weighs { return doc.weighs }
 
-// Priority gives the service's rank among services, 0 to 9, higher first.
+// Priority returns the service's priority among services, 0 to 9; higher values come first.
 func (doc *Document) Priority() int { return doc.raw.Priority }
 
-// Deadline gives the span within which a request must be answered.
+// Deadline returns the time within which a request must be answered.
 func (doc *Document) Deadline() clock.Milli { return clock.Milli(doc.raw.DeadlineMs) }
 
-// KeyLife gives the longest span from now to the expiry of a request key.
+// KeyLife returns the maximum time until the expiry of a request key.
 func (doc *Document) KeyLife() clock.Milli { return clock.Milli(doc.raw.KeyLifeMs) }
 
-// Stages gives the number of stages.
+// Stages returns the number of stages.
 func (doc *Document) Stages() int { return len(doc.raw.Stage) }
 
-// Stage gives the i-th stage, from 0.
+// Stage returns stage i, counted from 0.
 func (doc *Document) Stage(i int) Stage {
 	return Stage{raw: &doc.raw.Stage[i], kind: doc.kinds[i]}
 }
 
-// Graph tells which stages take the results of which. The last stage is its only leaf:
-// what it makes is the answer.
+// Graph returns the data dependencies between the stages. The last stage is its only leaf;
+// its result is the answer.
 func (doc *Document) Graph() graph.Graph { return doc.graph }
 
-// Request finds a kind of request; an empty name finds the first.
+// Request returns the kind of request with the given name, or the first one if the name is
+// empty.
 func (doc *Document) Request(name string) (Request, bool) {
 	for i := range doc.raw.Request {
 		if req := &doc.raw.Request[i]; name == "" || req.Name == name {
@@ -78,7 +80,7 @@
 	return Request{}, false
 }
 
-// Workspace finds a workspace's entry.
+// Workspace returns the entry of a workspace.
 func (doc *Document) Workspace(name string) (Workspace, bool) {
 	for i := range doc.raw.Workspace {
 		if wsp := &doc.raw.Workspace[i]; wsp.Name == name {
@@ -88,7 +90,7 @@
 	return Workspace{}, false
 }
 
-// Workspaces gives all workspaces in the document's order.
+// Workspaces returns all workspaces in the document's order.
 func (doc *Document) Workspaces() []Workspace {
 	all := make([]Workspace, len(doc.raw.Workspace))
 	for i := range doc.raw.Workspace {
@@ -103,24 +105,24 @@
 	kind Kind
 }
 
-// Name gives the stage's name, unique in its document.
+// Name returns the stage's name, which is unique in its document.
 func (stg Stage) Name() string { return stg.raw.Name }
 
-// Kind gives what the stage does.
+// Kind returns the stage's kind.
 func (stg Stage) Kind() Kind { return stg.kind }
 
-// Pool gives the pool of endpoints that run the stage.
+// Pool returns the pool of endpoints that run the stage.
 func (stg Stage) Pool() string { return stg.raw.Pool }
 
-// Model gives the model a generating endpoint must have loaded; empty leaves
-// the endpoints as they are.
+// Model returns the model that a generating endpoint must have loaded; if empty, no model
+// is ordered.
 func (stg Stage) Model() string { return stg.raw.Model }
 
-// Need gives the owner's first guess of the stage's time, used until it has
+// Need returns the owner's initial estimate of the stage's service time, used until it has
 // been measured.
 func (stg Stage) Need() clock.Milli { return clock.Milli(stg.raw.NeedMs) }
 
-// NonIdempotent tells that the stage must not run twice for one request.
+// NonIdempotent reports whether the stage must not run twice for one request.
 func (stg Stage) NonIdempotent() bool {
 	if stg.raw.NonIdempotent != nil {
 		return *stg.raw.NonIdempotent
@@ -128,7 +130,7 @@
 	return stg.kind == Call
 }
 
-// ChecksFencing tells that the pool's endpoints refuse an order with an old
+// ChecksFencing reports whether the pool's endpoints refuse an order with an outdated
 // fencing number.
 func (stg Stage) ChecksFencing() bool { return stg.raw.ChecksFencing }
 
@@ -137,38 +139,38 @@
 	raw *rawRequest
 }
 
-// Name gives the kind's name.
+// Name returns the kind's name.
 func (req Request) Name() string { return req.raw.Name }
 
-// NonIdempotent tells that such a request runs at most once and needs a key.
+// NonIdempotent reports whether a request of this kind runs at most once and needs a key.
 func (req Request) NonIdempotent() bool { return req.raw.NonIdempotent }
 
-// Workspace is one customer's entry in a document.
+// Workspace is the entry of one workspace in a document.
 type Workspace struct {
 	raw *rawWorkspace
 }
 
-// Name gives the workspace's name.
+// Name returns the workspace's name.
 func (wsp Workspace) Name() string { return wsp.raw.Name }
 
-// Rate gives the requests a second that are let through, and how many may
-// come at once.
+// Rate returns the admitted requests per second and the burst size.
 func (wsp Workspace) Rate() (perSecond float64, burst int) {
 	return wsp.raw.RequestsPerSecond, wsp.raw.Burst
 }
 
-// InFlight gives how many of its requests may be under way at one instance.
+// InFlight returns the maximum number of the workspace's requests in flight at one
+// instance.
 func (wsp Workspace) InFlight() int { return wsp.raw.InFlight }
 
-// Share gives the workspace's weight among the waiting.
+// Share returns the workspace's weight among queued requests.
 func (wsp Workspace) Share() int { return wsp.raw.Share }
 
-// TokenHash gives the SHA-256 of the workspace's bearer token in hexadecimal;
-// empty when the workspace is taken at its word.
+// TokenHash returns the SHA-256 hash of the workspace's bearer token in hexadecimal; if
+// empty, the workspace is not authenticated.
 func (wsp Workspace) TokenHash() string { return wsp.raw.TokenSha256 }
 
-// Parse reads and checks a document. The document is nil exactly when the list
-// has failed; warnings come with a document.
+// Parse parses and checks a document. The document is nil if and only if the list has
+// failed; warnings are returned along with a document.
 func Parse(text []byte) (*Document, *place.Faults) {
 	doc := &Document{}
 	fts := place.Decode(text, &doc.raw)
--- a/pkg/svcdoc/svcdoc_test.go
+++ b/pkg/svcdoc/svcdoc_test.go
@@ -16,8 +16,7 @@
 
 func TestMain(m *testing.M) { golden.Main(m) }
 
-// TestFaults: a document with several faults gets all of them at once, each
-// with path and line.
+// TestFaults: all faults of a document are reported at once, each with path and line.
 func TestFaults(t *testing.T) {
 	golden.Run(t, "*.txtar", func(_ *testing.T, sections map[string]string) string {
 		doc, fts := Parse([]byte(sections["input"]))
@@ -30,9 +29,8 @@
 	})
 }
 
-// TestExamplesAreRight: every document in examples/ is accepted without a
-// warning.
-func TestExamplesAreRight(t *testing.T) {
+// TestExamplesAreValid: every document in examples/ is accepted without a warning.
+func TestExamplesAreValid(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	paths, err := filepath.Glob(filepath.Join("..", "..", "examples", "*", "services", "*.toml"))
 	gom.Expect(err).NotTo(gomega.HaveOccurred())
@@ -46,9 +44,8 @@
 	}
 }
 
-// TestNoTextBreaksTheParser: whatever an operator sends, there is a document or
-// a list of faults, and never neither.
-func TestNoTextBreaksTheParser(t *testing.T) {
+// TestParseArbitraryText: any text yields either a document or a list of faults.
+func TestParseArbitraryText(t *testing.T) {
 	good := "name = \"a\"\n[[stage]]\nkind = \"encode\"\npool = \"p\"\n[[workspace]]\nname = \"w\"\n"
 	rapid.Check(t, func(t *rapid.T) {
 		raw := []byte(good)
@@ -69,8 +66,8 @@
 	// Output: priorty (line 2): unknown key, did you mean "priority"?
 }
 
-// TestReferencePage holds the documents' reference page to the code: every key
-// has a row, and every row of that table is a key.
+// TestReferencePage: the reference page has a row for every key of a document, and no other
+// rows.
 func TestReferencePage(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	text, err := os.ReadFile(filepath.Join("..", "..", "docs", "OPERATIONS.md"))
