--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -1,11 +1,11 @@
-// Package conf reads and checks an instance's settings.
+// Package conf reads and validates the settings of an instance.
 //
-// All faults of a file are shown together with key and line; an unknown key is
-// refused with the nearest known one. Every key is described in
-// docs/OPERATIONS.md, and a test holds the two together. Settings say only what
-// one instance can't learn otherwise: its addresses, its data centre, where the
-// platform is and which keys to use. How services behave stands in their
-// documents.
+// All faults of a file are reported together, with key and line. An unknown key
+// is rejected with the most similar known key as a suggestion. Every key is
+// described in docs/OPERATIONS.md; a test checks that page against the code.
+// Settings contain only what an instance can't get elsewhere: its addresses, its
+// data centre, the platform's address and the cryptographic keys. The behaviour
+// of services is defined in their documents.
 package conf
 
 import (
@@ -20,7 +20,7 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// Settings are an instance's checked settings; see [Parse].
+// Settings are the validated settings of an instance; see [Parse].
 type Settings struct {
 	raw raw
 	key []byte
@@ -55,7 +55,7 @@
 	TLS            rawTLS   `toml:"tls"`
 }
 
-// The dialects: the product's own protocol, and the platform's.
+// Dialects: the product's own protocol and that of the platform.
 const (
 	DialectOwn      = "own"
 	DialectPlatform = "platform"
@@ -69,40 +69,41 @@
 
 // Defaults and bounds.
 const (
-	defaultKeep           = 10 * clock.Second
-	defaultFresh          = 5 * clock.Second
+	defaultEntryTTL       = 10 * clock.Second
+	defaultMaxLogAge      = 5 * clock.Second
 	defaultRetention      = 3 * clock.Day
 	defaultMaxInFlight    = 2048
 	defaultMaxConnections = 8192
-	maxKeep               = 10 * clock.Minute
-	minFresh              = 2 * clock.Second
-	maxFresh              = clock.Minute
-	minResumeKey          = 16
-	// Tokens that were taken away are honoured a while longer by instances that
-	// heard nothing; five seconds is what callers' owners were promised.
-	defaultTokensFor = 5 * clock.Second
-	// A tenth of a pool's requests may be sent again, and some tens in a window
-	// of ten seconds, by all instances together.
+	maxEntryTTL           = 10 * clock.Minute
+	minMaxLogAge          = 2 * clock.Second
+	maxMaxLogAge          = clock.Minute
+	minResumeKeyBytes     = 16
+	// An instance without updates accepts revoked tokens for at most this long.
+	// The owners of the callers were promised 5 s.
+	defaultTokenMaxViewAge = 5 * clock.Second
+	// All instances together may retry a tenth of a pool's requests plus 50 in each
+	// window of 10 s.
 	defaultRetryShare   = 0.1
 	defaultRetryReserve = 50.0
 	defaultRetryWindow  = 10 * clock.Second
-	// defaultStop is how long a planned stop may take.
-	defaultStop = 25 * clock.Minute
-	mostShare   = 1.0
+	// defaultShutdownTimeout bounds a planned shutdown.
+	defaultShutdownTimeout = 25 * clock.Minute
+	maxRetryShare          = 1.0
 )
 
-// CallerAddr gives the address on which callers are served.
+// CallerAddr returns the listen address for callers.
 func (set *Settings) CallerAddr() string { return set.raw.CallerAddr }
 
-// OpsAddr gives the address of the operators' interface.
+// OpsAddr returns the listen address of the operators' interface.
 func (set *Settings) OpsAddr() string { return set.raw.OpsAddr }
 
-// PeerAddr gives the UDP address of the link between instances; empty for an
-// instance that stands alone.
+// PeerAddr returns the UDP address of the link to other instances. It is empty
+// for a standalone instance.
 func (set *Settings) PeerAddr() string { return set.raw.PeerAddr }
 
-// PeerAdvertise gives the address at which the others are told to reach the link: the
-// one it listens on, unless something translates addresses before it.
+// PeerAdvertise returns the address of the link that is advertised to other
+// instances. It defaults to the listen address and differs from it behind address
+// translation.
 func (set *Settings) PeerAdvertise() string {
 	if set.raw.PeerAdvertise != "" {
 		return set.raw.PeerAdvertise
@@ -110,13 +111,13 @@
 	return set.raw.PeerAddr
 }
 
-// Zone gives the data centre.
+// Zone returns the name of the data centre.
 func (set *Settings) Zone() string { return set.raw.Zone }
 
-// Platform gives the platform's base address.
+// Platform returns the base URL of the platform.
 func (set *Settings) Platform() string { return set.raw.Platform }
 
-// Store gives the host and port of the platform's base address.
+// Store returns the host and port of the platform's base URL.
 func (set *Settings) Store() string {
 	base, err := url.Parse(set.raw.Platform)
 	if err != nil {
@@ -125,70 +126,74 @@
 	return base.Host
 }
 
-// Peers gives addresses of other instances to ask when the instance list is
-// out.
+// Peers returns addresses of other instances that are used while the instance
+// list is unavailable.
 func (set *Settings) Peers() []string { return set.raw.Peers }
 
-// Keep gives how long callers may keep an address.
+// Keep returns how long callers may cache an address.
 func (set *Settings) Keep() clock.Milli { return clock.Milli(set.raw.KeepMs) }
 
-// Fresh gives how long an instance may go without word of the log.
+// Fresh returns how long an instance may serve without confirmation from the log
+// that its state is current.
 func (set *Settings) Fresh() clock.Milli { return clock.Milli(set.raw.FreshMs) }
 
-// LogRetention gives how long the platform keeps records.
+// LogRetention returns the retention of the platform's log.
 func (set *Settings) LogRetention() clock.Milli { return clock.Milli(set.raw.LogRetentionMs) }
 
-// MaxInFlight bounds the requests under way at this instance.
+// MaxInFlight returns the maximum number of requests in flight at this instance.
 func (set *Settings) MaxInFlight() int { return set.raw.MaxInFlight }
 
-// MaxConnections bounds the callers' connections at this instance.
+// MaxConnections returns the maximum number of caller connections at this instance.
 func (set *Settings) MaxConnections() int { return set.raw.MaxConnections }
 
-// Dialect gives how callers, endpoints and the store are spoken to.
+// Dialect returns the protocol for callers, endpoints and the store.
 func (set *Settings) Dialect() string { return set.raw.Dialect }
 
-// EntriesAddr gives the address on which callers ask for addresses; empty if that
-// is not served apart.
+// EntriesAddr returns the listen address for the callers' address lookups. It is
+// empty if there is no separate listener for them.
 func (set *Settings) EntriesAddr() string { return set.raw.EntriesAddr }
 
-// ReadyAddr gives the address on which readiness is asked for; empty if that is
-// not served apart.
+// ReadyAddr returns the listen address of the readiness check. It is empty if
+// there is no separate listener for it.
 func (set *Settings) ReadyAddr() string { return set.raw.ReadyAddr }
 
-// MetricsAddr gives the address of the counters; empty for none of their own.
+// MetricsAddr returns the listen address of the metrics. It is empty if there is
+// no separate listener for them.
 func (set *Settings) MetricsAddr() string { return set.raw.MetricsAddr }
 
-// TokensFor gives how long tokens are honoured after the documents were last
+// TokensFor returns how long tokens are accepted after the documents were last
 // known to be in force.
 func (set *Settings) TokensFor() clock.Milli { return clock.Milli(set.raw.TokensForMs) }
 
-// Retries gives the share of a pool's requests that may be sent again, and how
-// many more in a window, by all instances together.
-func (set *Settings) Retries() (share, most float64, window clock.Milli) {
+// Retries returns the retry budget of a pool, for all instances together: the
+// share of its requests that may be retried and the number of further retries in
+// each window.
+func (set *Settings) Retries() (share, reserve float64, window clock.Milli) {
 	return set.raw.RetryShare, set.raw.RetryReserve, clock.Milli(set.raw.RetryWindowMs)
 }
 
-// Stop gives how long a planned stop may take.
+// Stop returns the maximum duration of a planned shutdown.
 func (set *Settings) Stop() clock.Milli { return clock.Milli(set.raw.StopMs) }
 
-// Capacity gives how strong the instance is, in cores; zero counts 1.
+// Capacity returns the capacity of the instance in cores; zero counts as 1.
 func (set *Settings) Capacity() float64 { return set.raw.CapacityCores }
 
-// Memory gives the bytes that the process may use, zero for no bound.
+// Memory returns the memory limit of the process in bytes, or zero for no limit.
 func (set *Settings) Memory() int64 { return set.raw.MemoryMB << 20 }
 
-// LogLevel gives the least level that is logged.
+// LogLevel returns the minimum level of log lines.
 func (set *Settings) LogLevel() string { return set.raw.LogLevel }
 
-// ResumeKey gives the key that seals resume tokens, the same on all instances.
+// ResumeKey returns the key by which resume tokens are authenticated. It is the
+// same on all instances.
 func (set *Settings) ResumeKey() []byte { return set.key }
 
-// TLS gives the files of certificate, key and authority.
+// TLS returns the paths of the certificate, its key and the CA certificate.
 func (set *Settings) TLS() (cert, key, ca string) {
 	return set.raw.TLS.Cert, set.raw.TLS.Key, set.raw.TLS.CA
 }
 
-// Read reads settings from a file.
+// Read reads and validates settings from a file; see [Parse].
 func Read(path string) (*Settings, *place.Faults, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -198,14 +203,14 @@
 	return set, fts, nil
 }
 
-// Parse reads and checks settings. They are nil exactly when the list has
-// failed.
+// Parse decodes and validates settings. They are nil if and only if the list
+// contains an error.
 func Parse(text []byte) (*Settings, *place.Faults) {
 	set := &Settings{raw: raw{
-		KeepMs: int64(defaultKeep), FreshMs: int64(defaultFresh), LogRetentionMs: int64(defaultRetention),
+		KeepMs: int64(defaultEntryTTL), FreshMs: int64(defaultMaxLogAge), LogRetentionMs: int64(defaultRetention),
 		MaxInFlight: defaultMaxInFlight, MaxConnections: defaultMaxConnections, LogLevel: "info",
-		Dialect: DialectOwn, TokensForMs: int64(defaultTokensFor), RetryShare: defaultRetryShare,
-		RetryReserve: defaultRetryReserve, RetryWindowMs: int64(defaultRetryWindow), StopMs: int64(defaultStop),
+		Dialect: DialectOwn, TokensForMs: int64(defaultTokenMaxViewAge), RetryShare: defaultRetryShare,
+		RetryReserve: defaultRetryReserve, RetryWindowMs: int64(defaultRetryWindow), StopMs: int64(defaultShutdownTimeout),
 	}}
 	fts := place.Decode(text, &set.raw)
 	if fts.Failed() {
@@ -219,22 +224,22 @@
 }
 
 func (set *Settings) check(fts *place.Faults) {
-	address(fts, "caller_addr", set.raw.CallerAddr, true)
-	routed := set.raw.Dialect == DialectPlatform
-	if !routed && set.raw.Dialect != DialectOwn {
+	checkAddr(fts, "caller_addr", set.raw.CallerAddr, true)
+	isPlatform := set.raw.Dialect == DialectPlatform
+	if !isPlatform && set.raw.Dialect != DialectOwn {
 		fts.Add("dialect", "%q is not one of %s, %s", set.raw.Dialect, DialectOwn, DialectPlatform)
 	}
-	address(fts, "ops_addr", set.raw.OpsAddr, !routed)
-	address(fts, "entries_addr", set.raw.EntriesAddr, routed)
-	address(fts, "ready_addr", set.raw.ReadyAddr, routed)
-	address(fts, "metrics_addr", set.raw.MetricsAddr, false)
-	address(fts, "peer_addr", set.raw.PeerAddr, false)
-	address(fts, "peer_advertise", set.raw.PeerAdvertise, false)
+	checkAddr(fts, "ops_addr", set.raw.OpsAddr, !isPlatform)
+	checkAddr(fts, "entries_addr", set.raw.EntriesAddr, isPlatform)
+	checkAddr(fts, "ready_addr", set.raw.ReadyAddr, isPlatform)
+	checkAddr(fts, "metrics_addr", set.raw.MetricsAddr, false)
+	checkAddr(fts, "peer_addr", set.raw.PeerAddr, false)
+	checkAddr(fts, "peer_advertise", set.raw.PeerAdvertise, false)
 	if set.raw.PeerAdvertise != "" && set.raw.PeerAddr == "" {
-		fts.Add("peer_advertise", "there is no peer_addr that could be reached by it")
+		fts.Add("peer_advertise", "it has no effect without peer_addr")
 	}
 	for i, addr := range set.raw.Peers {
-		address(fts, fmt.Sprintf("peers[%d]", i), addr, true)
+		checkAddr(fts, fmt.Sprintf("peers[%d]", i), addr, true)
 	}
 	if set.raw.Zone == "" {
 		fts.Add("zone", "the data centre must be named")
@@ -243,26 +248,26 @@
 	if err != nil || base.Scheme != "http" && base.Scheme != "https" || base.Host == "" {
 		fts.Add("platform", "%q is not an address such as \"http://10.0.0.1:7000\"", set.raw.Platform)
 	}
-	span(fts, "keep_ms", set.raw.KeepMs, 1, maxKeep)
-	span(fts, "fresh_ms", set.raw.FreshMs, minFresh, maxFresh)
+	checkRange(fts, "keep_ms", set.raw.KeepMs, 1, maxEntryTTL)
+	checkRange(fts, "fresh_ms", set.raw.FreshMs, minMaxLogAge, maxMaxLogAge)
 	if clock.Milli(set.raw.LogRetentionMs) < claim.MinRetention {
 		fts.Add("log_retention_ms", "%d is below %d: request keys would be forgotten while they are repeated", set.raw.LogRetentionMs, claim.MinRetention)
 	}
-	positive(fts, "max_in_flight", set.raw.MaxInFlight)
-	positive(fts, "max_connections", set.raw.MaxConnections)
+	checkPositive(fts, "max_in_flight", set.raw.MaxInFlight)
+	checkPositive(fts, "max_connections", set.raw.MaxConnections)
 	switch set.raw.LogLevel {
 	case "debug", "info", "warn", "error":
 	default:
 		fts.Add("log_level", "%q is not one of debug, info, warn, error", set.raw.LogLevel)
 	}
 	set.checkRetries(fts)
-	if !routed {
+	if !isPlatform {
 		set.checkKeys(fts)
 	}
 }
 
 func (set *Settings) checkRetries(fts *place.Faults) {
-	if set.raw.RetryShare < 0 || set.raw.RetryShare > mostShare {
+	if set.raw.RetryShare < 0 || set.raw.RetryShare > maxRetryShare {
 		fts.Add("retry_share", "%g is not in 0 to 1", set.raw.RetryShare)
 	}
 	if set.raw.RetryReserve < 0 {
@@ -274,15 +279,15 @@
 	if set.raw.MemoryMB < 0 {
 		fts.Add("memory_mb", "%d is below 0", set.raw.MemoryMB)
 	}
-	span(fts, "retry_window_ms", set.raw.RetryWindowMs, clock.Second, clock.Hour)
-	span(fts, "tokens_for_ms", set.raw.TokensForMs, clock.Second, clock.Hour)
-	span(fts, "stop_ms", set.raw.StopMs, clock.Second, clock.Hour)
+	checkRange(fts, "retry_window_ms", set.raw.RetryWindowMs, clock.Second, clock.Hour)
+	checkRange(fts, "tokens_for_ms", set.raw.TokensForMs, clock.Second, clock.Hour)
+	checkRange(fts, "stop_ms", set.raw.StopMs, clock.Second, clock.Hour)
 }
 
 func (set *Settings) checkKeys(fts *place.Faults) {
 	key, err := hex.DecodeString(set.raw.ResumeKeyHex)
-	if err != nil || len(key) < minResumeKey {
-		fts.Add("resume_key_hex", "at least %d bytes in hexadecimal are needed, the same on all instances", minResumeKey)
+	if err != nil || len(key) < minResumeKeyBytes {
+		fts.Add("resume_key_hex", "at least %d bytes in hexadecimal are needed, the same on all instances", minResumeKeyBytes)
 	}
 	set.key = key
 	if set.raw.PeerAddr == "" {
@@ -291,7 +296,7 @@
 	}
 	for path, file := range map[string]string{"tls.cert": set.raw.TLS.Cert, "tls.key": set.raw.TLS.Key, "tls.ca": set.raw.TLS.CA} {
 		if file == "" {
-			fts.Add(path, "a file must be named, for instances speak to one another under mutual TLS")
+			fts.Add(path, "a file is required: the links between instances use mutual TLS")
 			continue
 		}
 		if _, err := os.Stat(file); err != nil {
@@ -300,8 +305,8 @@
 	}
 }
 
-func address(fts *place.Faults, path, addr string, needed bool) {
-	if addr == "" && !needed {
+func checkAddr(fts *place.Faults, path, addr string, required bool) {
+	if addr == "" && !required {
 		return
 	}
 	host, port, err := net.SplitHostPort(addr)
@@ -310,13 +315,13 @@
 	}
 }
 
-func span(fts *place.Faults, path string, ms int64, least, most clock.Milli) {
-	if clock.Milli(ms) < least || clock.Milli(ms) > most {
-		fts.Add(path, "%d ms is not in %d to %d", ms, least, most)
+func checkRange(fts *place.Faults, path string, ms int64, minMs, maxMs clock.Milli) {
+	if clock.Milli(ms) < minMs || clock.Milli(ms) > maxMs {
+		fts.Add(path, "%d ms is not in %d to %d", ms, minMs, maxMs)
 	}
 }
 
-func positive(fts *place.Faults, path string, val int) {
+func checkPositive(fts *place.Faults, path string, val int) {
 	if val <= 0 {
 		fts.Add(path, "%d is not above 0", val)
 	}
--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -24,8 +24,8 @@
 	return keys
 }
 
-// TestReferencePage holds the settings' reference page to the code: every key
-// has a row, and every row of that table is a key.
+// TestReferencePage checks the table of settings in the operations page against
+// the code: every key has a row, and every row names a key.
 func TestReferencePage(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	text, err := os.ReadFile(filepath.Join("..", "..", "docs", "OPERATIONS.md"))
@@ -42,8 +42,8 @@
 	gom.Expect(rows).To(gomega.ConsistOf(keysOf("", reflect.TypeOf(raw{}))))
 }
 
-// TestExamplesAreRight: the settings in examples/ have no fault but for the key
-// files, which stand on the operators' instances.
+// TestExamplesAreRight checks that the settings in examples/ are valid except for
+// the TLS files, which exist only on the operators' instances.
 func TestExamplesAreRight(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	paths, _ := filepath.Glob(filepath.Join("..", "..", "examples", "*", "node.toml"))
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -12,11 +12,11 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// nearDistance is the edit distance up to which a known key is offered in
-// place of an unknown one.
-const nearDistance = 3
+// maxEditDistance is the largest Levenshtein distance at which a known key is
+// suggested for an unknown one.
+const maxEditDistance = 3
 
-// Fault is one thing that is wrong in a file.
+// Fault is an error or a warning about a file.
 type Fault struct {
 	path    string
 	line    int
@@ -24,17 +24,17 @@
 	warning bool
 }
 
-// Path gives the key, such as "stage[1].pool"; empty when the text as a whole
-// is at fault.
+// Path returns the path of the key, such as "stage[1].pool". It is empty if the
+// fault concerns the whole text.
 func (ft Fault) Path() string { return ft.path }
 
-// Line gives the line, from 1; zero when it is not known.
+// Line returns the line number, starting at 1, or zero if it is unknown.
 func (ft Fault) Line() int { return ft.line }
 
-// IsWarning tells that the file is legal but probably not what was meant.
+// IsWarning reports whether the file is valid but probably not as intended.
 func (ft Fault) IsWarning() bool { return ft.warning }
 
-// String gives path, line and message, path first.
+// String formats the fault as path, line and message.
 func (ft Fault) String() string {
 	kind := ""
 	if ft.warning {
@@ -44,7 +44,7 @@
 	case ft.path == "" && ft.line == 0:
 		return kind + ft.message
 	case ft.line == 0:
-		// A key that should be there and is not has no line.
+		// A missing key has no line.
 		return fmt.Sprintf("%s: %s%s", ft.path, kind, ft.message)
 	case ft.path == "":
 		return fmt.Sprintf("line %d: %s%s", ft.line, kind, ft.message)
@@ -53,33 +53,33 @@
 	}
 }
 
-// Faults collects what is wrong with one file and knows the lines of its keys.
+// Faults collects the faults of one file and holds the line numbers of its keys.
 // The zero value is an empty list for a file without keys.
 type Faults struct {
 	list  []Fault
 	lines map[string]int
 }
 
-// Add notes a fault at a path; its line is that of the nearest key at or above
-// the path.
+// Add adds an error at a path. Its line is that of the key at the path or of its
+// nearest ancestor in the file.
 func (fts *Faults) Add(path, format string, args ...any) {
 	fts.list = append(fts.list, Fault{path: path, line: fts.lineOf(path), message: fmt.Sprintf(format, args...)})
 }
 
-// Warn notes what is legal and probably wrong.
+// Warn adds a warning at a path.
 func (fts *Faults) Warn(path, format string, args ...any) {
 	fts.Add(path, format, args...)
 	fts.list[len(fts.list)-1].warning = true
 }
 
-// All gives faults and warnings in the order of their lines.
+// All returns errors and warnings, sorted by line.
 func (fts *Faults) All() []Fault {
 	all := append([]Fault(nil), fts.list...)
 	sort.SliceStable(all, func(i, j int) bool { return all[i].line < all[j].line })
 	return all
 }
 
-// Failed tells whether there is any fault that is not a warning.
+// Failed reports whether there is an error, that is, a fault other than a warning.
 func (fts *Faults) Failed() bool {
 	for _, ft := range fts.list {
 		if !ft.warning {
@@ -89,8 +89,8 @@
 	return false
 }
 
-// Err gives all faults as one error, a line each, or nil; warnings are no
-// error.
+// Err returns all errors as one error with a line for each, or nil if there are
+// none. Warnings are left out.
 func (fts *Faults) Err() error {
 	var lines []string
 	for _, ft := range fts.All() {
@@ -104,7 +104,7 @@
 	return fmt.Errorf("%s", strings.Join(lines, "\n"))
 }
 
-// Has tells whether the file sets the key at path.
+// Has reports whether the file sets the key at path.
 func (fts *Faults) Has(path string) bool {
 	_, ok := fts.lines[path]
 	return ok
@@ -124,27 +124,27 @@
 	return 0
 }
 
-// Decode reads text into target, a pointer to a struct with toml tags. When
-// the returned list has failed, target is left as it was.
+// Decode decodes text into target, a pointer to a struct with toml tags. If a key
+// is unknown or a value has the wrong type, target is left unchanged.
 func Decode(text []byte, target any) *Faults {
 	fts := &Faults{lines: map[string]int{}}
 	var tree map[string]any
 	if err := toml.Unmarshal(text, &tree); err != nil {
-		fts.addSyntax(err)
+		fts.addSyntaxError(err)
 		return fts
 	}
-	fts.readLines(text)
-	fts.compare("", tree, reflect.TypeOf(target).Elem())
+	fts.indexLines(text)
+	fts.checkValue("", tree, reflect.TypeOf(target).Elem())
 	if fts.Failed() {
 		return fts
 	}
 	if err := toml.Unmarshal(text, target); err != nil {
-		fts.addSyntax(err)
+		fts.addSyntaxError(err)
 	}
 	return fts
 }
 
-func (fts *Faults) addSyntax(err error) {
+func (fts *Faults) addSyntaxError(err error) {
 	ft := Fault{message: strings.TrimPrefix(err.Error(), "toml: ")}
 	if de, ok := err.(*toml.DecodeError); ok {
 		ft.line, _ = de.Position()
@@ -153,11 +153,11 @@
 	fts.list = append(fts.list, ft)
 }
 
-// readLines fills the lines of all keys from the syntax tree. The parser's own
-// positions are counted from the start of the text for each key: a document of
-// 1,100 workspaces took 0.3 s, on the control thread. So the ends of lines are
-// found once.
-func (fts *Faults) readLines(text []byte) {
+// indexLines records the line of each key from the syntax tree. It finds the line
+// ends once and searches them, because the parser computes each position by
+// counting from the start of the text: a document of 1,100 workspaces then took
+// 0.3 s on the control loop.
+func (fts *Faults) indexLines(text []byte) {
 	var ends []int
 	for i, chr := range text {
 		if chr == '\n' {
@@ -174,10 +174,10 @@
 		line := 1 + sort.SearchInts(ends, at)
 		switch node.Kind {
 		case unstable.Table:
-			prefix = inLastElement(key, counts)
+			prefix = resolveArrays(key, counts)
 			fts.lines[prefix] = line
 		case unstable.ArrayTable:
-			base := inLastElement(key, counts)
+			base := resolveArrays(key, counts)
 			prefix = fmt.Sprintf("%s[%d]", base, counts[base])
 			counts[base]++
 			fts.lines[prefix] = line
@@ -187,9 +187,9 @@
 	}
 }
 
-// inLastElement turns a table header's key into a path: a part that names an
-// array of tables stands for its last element so far.
-func inLastElement(key []string, counts map[string]int) string {
+// resolveArrays converts the key of a table header into a path. A part that names
+// an array of tables refers to the array's last element so far.
+func resolveArrays(key []string, counts map[string]int) string {
 	path := ""
 	for i, part := range key {
 		path = join(path, part)
@@ -200,7 +200,7 @@
 	return path
 }
 
-// keyOf gives a key's parts and its offset in the text.
+// keyOf returns the parts of a key and its byte offset in the text.
 func keyOf(node *unstable.Node) (key []string, at int) {
 	for it := node.Key(); it.Next(); {
 		part := it.Node()
@@ -212,33 +212,33 @@
 	return key, at
 }
 
-// compare walks a parsed value and the Go type it is meant for.
-func (fts *Faults) compare(path string, val any, typ reflect.Type) {
+// checkValue checks a parsed value recursively against the Go type of its target.
+func (fts *Faults) checkValue(path string, val any, typ reflect.Type) {
 	switch typ.Kind() {
 	case reflect.Pointer:
-		fts.compare(path, val, typ.Elem())
+		fts.checkValue(path, val, typ.Elem())
 	case reflect.Struct:
 		table, ok := val.(map[string]any)
 		if !ok {
-			fts.Add(path, "expected a table, found %s", kindOf(val))
+			fts.Add(path, "expected a table, found %s", describe(val))
 			return
 		}
-		fts.compareTable(path, table, typ)
+		fts.checkTable(path, table, typ)
 	case reflect.Slice:
 		items, ok := val.([]any)
 		if !ok {
-			fts.Add(path, "expected a list, found %s", kindOf(val))
+			fts.Add(path, "expected a list, found %s", describe(val))
 			return
 		}
 		for i, item := range items {
-			fts.compare(path+"["+strconv.Itoa(i)+"]", item, typ.Elem())
+			fts.checkValue(path+"["+strconv.Itoa(i)+"]", item, typ.Elem())
 		}
 	default:
-		fts.compareScalar(path, val, typ)
+		fts.checkScalar(path, val, typ)
 	}
 }
 
-func (fts *Faults) compareTable(path string, table map[string]any, typ reflect.Type) {
+func (fts *Faults) checkTable(path string, table map[string]any, typ reflect.Type) {
 	fields := map[string]reflect.Type{}
 	for i := range typ.NumField() {
 		if tag := typ.Field(i).Tag.Get("toml"); tag != "" {
@@ -248,37 +248,37 @@
 	for key, val := range table {
 		field, ok := fields[key]
 		if !ok {
-			fts.Add(join(path, key), "unknown key%s", nearest(key, fields))
+			fts.Add(join(path, key), "unknown key%s", suggestion(key, fields))
 			continue
 		}
-		fts.compare(join(path, key), val, field)
+		fts.checkValue(join(path, key), val, field)
 	}
 }
 
-func (fts *Faults) compareScalar(path string, val any, typ reflect.Type) {
+func (fts *Faults) checkScalar(path string, val any, typ reflect.Type) {
 	switch typ.Kind() {
 	case reflect.String:
 		if _, ok := val.(string); !ok {
-			fts.Add(path, "expected a string, found %s", kindOf(val))
+			fts.Add(path, "expected a string, found %s", describe(val))
 		}
 	case reflect.Bool:
 		if _, ok := val.(bool); !ok {
-			fts.Add(path, "expected true or false, found %s", kindOf(val))
+			fts.Add(path, "expected true or false, found %s", describe(val))
 		}
 	case reflect.Float64:
 		_, isFloat := val.(float64)
 		_, isInt := val.(int64)
 		if !isFloat && !isInt {
-			fts.Add(path, "expected a number, found %s", kindOf(val))
+			fts.Add(path, "expected a number, found %s", describe(val))
 		}
 	default:
 		if _, ok := val.(int64); !ok {
-			fts.Add(path, "expected a whole number, found %s", kindOf(val))
+			fts.Add(path, "expected a whole number, found %s", describe(val))
 		}
 	}
 }
 
-func kindOf(val any) string {
+func describe(val any) string {
 	switch val := val.(type) {
 	case string:
 		return fmt.Sprintf("the string %q", val)
@@ -297,8 +297,8 @@
 	}
 }
 
-func nearest(key string, fields map[string]reflect.Type) string {
-	best, bestDist := "", nearDistance+1
+func suggestion(key string, fields map[string]reflect.Type) string {
+	best, bestDist := "", maxEditDistance+1
 	for known := range fields {
 		dist := levenshtein.ComputeDistance(key, known)
 		if dist < bestDist || dist == bestDist && known < best {
