--- a/internal/early/early.go
+++ b/internal/early/early.go
@@ -1,9 +1,9 @@
-// Package early takes the signals of a daemon before anything else of the program runs.
+// Package early registers the signal handlers of a daemon before any other initialization.
 //
-// Until a program asks for a signal, the signal ends it. Whoever starts a daemon may tell it to
-// read its settings again, or to stop, at any moment from then on. Go initializes packages whose
-// imports are initialized in the order of their paths, so that this one, which imports the
-// standard library alone, comes before all others of the program that do some work.
+// A signal that is not handled terminates the process, and a daemon may be sent a signal to reload
+// its settings or to stop at any time after its start. Go initializes packages in the order of
+// their import paths as soon as their own imports are initialized. This package imports only the
+// standard library, so it is initialized before all packages of the program that do actual work.
 package early
 
 import (
@@ -12,24 +12,24 @@
 	"syscall"
 )
 
-// Signals are those that came and were not acted on yet.
+// Signals holds the received signals that have not been handled yet.
 type Signals struct {
-	// Stop has requests to stop, Reload those to read the settings again. Several of the latter
-	// are one.
+	// Stop receives SIGTERM and SIGINT, Reload receives SIGHUP. Pending reloads are merged into
+	// one.
 	Stop   chan os.Signal
 	Reload chan os.Signal
 }
 
-// stopMost is how many requests to stop are told apart: after the second one a program may end at
-// once.
-const stopMost = 2
+// maxStops is the number of stop signals that are kept: on the second one a program may exit
+// immediately.
+const maxStops = 2
 
-var taken = Signals{Stop: make(chan os.Signal, stopMost), Reload: make(chan os.Signal, 1)}
+var signals = Signals{Stop: make(chan os.Signal, maxStops), Reload: make(chan os.Signal, 1)}
 
 func init() {
-	signal.Notify(taken.Stop, syscall.SIGTERM, syscall.SIGINT)
-	signal.Notify(taken.Reload, syscall.SIGHUP)
+	signal.Notify(signals.Stop, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(signals.Reload, syscall.SIGHUP)
 }
 
-// Taken gives the program's signals.
-func Taken() Signals { return taken }
+// Taken returns the signals of the process.
+func Taken() Signals { return signals }
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -1,11 +1,10 @@
-// Package meter counts what the daemon does, for operators.
+// Package meter provides the Prometheus metrics of the daemon.
 //
-// Every refusal reason and every retry cause has its own counter from the
-// start, at zero, so that an alarm can be written before the first one happens.
-// Label values come from closed sets or from service documents; a workspace's
-// name is a label only if a document names it, because a caller could otherwise
-// fill the memory with made-up names. docs/OPERATIONS.md tells for each alarm
-// which counter to watch.
+// Every refusal reason and every retry cause has its own counter, which starts at
+// zero, so that an alert can be defined before the first occurrence. Label values
+// come from closed sets or from service documents; a workspace's name is a label
+// only if a document names it, because callers could otherwise exhaust the memory
+// with invented names. docs/OPERATIONS.md lists the metrics for each alert.
 package meter
 
 import (
@@ -23,28 +22,28 @@
 
 const namespace = "amv"
 
-// Meter holds the counters of one instance.
+// Meter holds the metrics of one instance.
 type Meter struct {
-	reg      *prometheus.Registry
-	outcomes *prometheus.CounterVec
-	refusals *prometheus.CounterVec
-	retries  *prometheus.CounterVec
-	request  *prometheus.HistogramVec
-	stage    *prometheus.HistogramVec
-	cost     *prometheus.CounterVec
-	wasted   *prometheus.CounterVec
-	events   *prometheus.CounterVec
-	gauges   *prometheus.GaugeVec
-
-	mtx    sync.Mutex
-	counts map[string]int64
+	reg         *prometheus.Registry
+	outcomes    *prometheus.CounterVec
+	refusals    *prometheus.CounterVec
+	retries     *prometheus.CounterVec
+	requestTime *prometheus.HistogramVec
+	stageTime   *prometheus.HistogramVec
+	engineMs    *prometheus.CounterVec
+	wastedMs    *prometheus.CounterVec
+	events      *prometheus.CounterVec
+	gauges      *prometheus.GaugeVec
+
+	mtx     sync.Mutex
+	refused map[string]int64
 }
 
-// buckets span the design's times: a stage of some milliseconds to a deadline
-// of 12 s, in seconds.
+// buckets, in seconds, range from a stage of a few milliseconds to beyond the
+// longest deadline of 12 s.
 var buckets = []float64{.002, .005, .01, .02, .05, .1, .2, .5, 1, 2, 5, 12, 30}
 
-// Names of the events that are counted without further labels.
+// Kinds of events, counted by kind alone.
 const (
 	EventDropped      = "control_event_dropped"
 	EventLogBack      = "log_answered_older_end"
@@ -79,20 +78,20 @@
 	GaugeEventQueue = "control_events_waiting"
 )
 
-// New returns counters at zero.
+// New returns a meter whose counters are zero.
 func New() *Meter {
-	mtr := &Meter{reg: prometheus.NewRegistry(), counts: map[string]int64{}}
+	mtr := &Meter{reg: prometheus.NewRegistry(), refused: map[string]int64{}}
 	mtr.outcomes = mtr.counter("requests_total", "Requests by service and outcome.", "service", "outcome")
 	mtr.refusals = mtr.counter("refusals_total", "Requests not answered whole, by outcome and reason.", "outcome", "reason")
 	mtr.retries = mtr.counter("retries_total", "Stage attempts after the first, by cause.", "cause")
-	mtr.cost = mtr.counter("stage_engine_ms_total", "Endpoint time spent, milliseconds.", "service", "stage")
-	mtr.wasted = mtr.counter("stage_wasted_ms_total", "Endpoint time spent on attempts whose result nobody used, milliseconds.", "service", "stage")
+	mtr.engineMs = mtr.counter("stage_engine_ms_total", "Endpoint time spent, milliseconds.", "service", "stage")
+	mtr.wastedMs = mtr.counter("stage_wasted_ms_total", "Endpoint time spent on attempts whose result nobody used, milliseconds.", "service", "stage")
 	mtr.events = mtr.counter("events_total", "Notable events by kind.", "kind")
-	mtr.request = mtr.histogram("request_seconds", "Time from a request's arrival to its answer.", "service")
-	mtr.stage = mtr.histogram("stage_seconds", "Time of a stage's successful attempt, waiting included.", "service", "stage")
+	mtr.requestTime = mtr.histogram("request_seconds", "Time from a request's arrival to its answer.", "service")
+	mtr.stageTime = mtr.histogram("stage_seconds", "Time of a stage's successful attempt, waiting included.", "service", "stage")
 	mtr.gauges = prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Name: "state", Help: "State of the instance by name."}, []string{"name"})
 	mtr.reg.MustRegister(mtr.gauges, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	mtr.zero()
+	mtr.initLabels()
 	return mtr
 }
 
@@ -108,7 +107,7 @@
 	return vec
 }
 
-func (mtr *Meter) zero() {
+func (mtr *Meter) initLabels() {
 	for oc := outcm.NotRun; oc <= outcm.Failed; oc++ {
 		for _, rs := range outcm.Reasons() {
 			mtr.refusals.WithLabelValues(oc.String(), rs.String())
@@ -122,52 +121,53 @@
 	}
 }
 
-// Handler serves the counters in Prometheus' text format.
+// Handler serves the metrics in the Prometheus text format.
 func (mtr *Meter) Handler() http.Handler {
 	return promhttp.HandlerFor(mtr.reg, promhttp.HandlerOpts{})
 }
 
-// Answered counts a request's end. service is empty when no document names it.
+// Answered counts a finished request. service is empty if no document names it.
 func (mtr *Meter) Answered(service string, res outcm.Result, took clock.Milli) {
 	mtr.outcomes.WithLabelValues(service, res.Outcome().String()).Inc()
-	mtr.request.WithLabelValues(service).Observe(took.Seconds())
+	mtr.requestTime.WithLabelValues(service).Observe(took.Seconds())
 	if res.Outcome() == outcm.Done {
 		return
 	}
 	mtr.refusals.WithLabelValues(res.Outcome().String(), res.Reason().String()).Inc()
 	mtr.mtx.Lock()
-	mtr.counts[res.Outcome().String()+"/"+res.Reason().String()]++
+	mtr.refused[res.Outcome().String()+"/"+res.Reason().String()]++
 	mtr.mtx.Unlock()
 }
 
-// Refusals gives the requests not answered whole, by "outcome/reason".
+// Refusals returns the number of requests that did not complete, by
+// "outcome/reason".
 func (mtr *Meter) Refusals() map[string]int64 {
 	mtr.mtx.Lock()
 	defer mtr.mtx.Unlock()
-	all := make(map[string]int64, len(mtr.counts))
-	for key, n := range mtr.counts {
+	all := make(map[string]int64, len(mtr.refused))
+	for key, n := range mtr.refused {
 		all[key] = n
 	}
 	return all
 }
 
-// Retried counts an attempt after the first.
+// Retried counts a retry.
 func (mtr *Meter) Retried(cause retry.Cause) { mtr.retries.WithLabelValues(cause.String()).Inc() }
 
-// Staged counts a stage's successful attempt.
+// Staged records a successful attempt of a stage.
 func (mtr *Meter) Staged(service, stage string, took, engine clock.Milli) {
-	mtr.stage.WithLabelValues(service, stage).Observe(took.Seconds())
-	mtr.cost.WithLabelValues(service, stage).Add(float64(engine))
+	mtr.stageTime.WithLabelValues(service, stage).Observe(took.Seconds())
+	mtr.engineMs.WithLabelValues(service, stage).Add(float64(engine))
 }
 
-// Wasted counts endpoint time whose result nobody used.
+// Wasted adds endpoint time that was spent on an unused result.
 func (mtr *Meter) Wasted(service, stage string, took clock.Milli) {
-	mtr.cost.WithLabelValues(service, stage).Add(float64(took))
-	mtr.wasted.WithLabelValues(service, stage).Add(float64(took))
+	mtr.engineMs.WithLabelValues(service, stage).Add(float64(took))
+	mtr.wastedMs.WithLabelValues(service, stage).Add(float64(took))
 }
 
-// Event counts a notable event.
+// Event counts an event by its kind.
 func (mtr *Meter) Event(kind string) { mtr.events.WithLabelValues(kind).Inc() }
 
-// Set sets a gauge.
+// Set sets a gauge by name.
 func (mtr *Meter) Set(name string, val float64) { mtr.gauges.WithLabelValues(name).Set(val) }
--- a/internal/story/story.go
+++ b/internal/story/story.go
@@ -1,4 +1,5 @@
-// Package story puts what the instances' logs tell of one request in order.
+// Package story collects the log lines of one request from several instances, sorts
+// them by time and formats them for display.
 package story
 
 import (
@@ -12,29 +13,28 @@
 	"time"
 )
 
-// maxLine bounds a line of a log, in bytes.
-const maxLine = 1 << 20
+const maxLineBytes = 1 << 20
 
-// Line is one line of a log that tells of a request.
+// Line is a log line about a request.
 type Line struct {
 	at     time.Time
 	fields map[string]any
 }
 
-// Sort puts lines of several logs in order.
+// Sort sorts lines of several logs by time.
 func Sort(lines []Line) {
 	slices.SortStableFunc(lines, func(x, y Line) int { return x.at.Compare(y.at) })
 }
 
-// At gives the instant of the line.
+// At returns the time stamp of the line.
 func (line Line) At() time.Time { return line.at }
 
-// Lines gives the lines of a log that tell of a request. What stands before a
-// line's JSON, as some collectors of logs add it, is passed over.
+// Lines returns the lines of a log that belong to the request with this id. Text
+// before the JSON of a line, as some log collectors add it, is ignored.
 func Lines(rdr io.Reader, id string) ([]Line, error) {
 	var lines []Line
 	scn := bufio.NewScanner(rdr)
-	scn.Buffer(nil, maxLine)
+	scn.Buffer(nil, maxLineBytes)
 	for scn.Scan() {
 		if !bytes.Contains(scn.Bytes(), []byte(id)) {
 			continue
@@ -61,24 +61,25 @@
 	return line, err == nil
 }
 
-// shown first, in this order, are the fields that most lines have; the others
-// follow by their names.
-var shownFirst = []string{"instance", "route", "workspace", "outcome", "reason", "detail"}
+// leadingFields are the fields that most lines have. They are shown first, in this
+// order; the others follow, sorted by name.
+var leadingFields = []string{"instance", "route", "workspace", "outcome", "reason", "detail"}
 
-// passedOver are the fields that the line itself stands for.
-var passedOver = []string{"time", "level", "message", "request"}
+// omittedFields are not listed as fields: Text shows time and message by
+// themselves, and level and request add nothing.
+var omittedFields = []string{"time", "level", "message", "request"}
 
-// Text writes the line for a person, with the time since an instant.
+// Text formats the line for display, with the time elapsed since start.
 func (line Line) Text(start time.Time) string {
 	var out strings.Builder
 	_, _ = fmt.Fprintf(&out, "%+d ms  %s:", line.at.Sub(start).Milliseconds(), line.fields["message"])
-	names := slices.Clone(shownFirst)
+	names := slices.Clone(leadingFields)
 	for name := range line.fields {
-		if !slices.Contains(names, name) && !slices.Contains(passedOver, name) {
+		if !slices.Contains(names, name) && !slices.Contains(omittedFields, name) {
 			names = append(names, name)
 		}
 	}
-	slices.Sort(names[len(shownFirst):])
+	slices.Sort(names[len(leadingFields):])
 	for _, name := range names {
 		if val, ok := line.fields[name]; ok && val != "" {
 			_, _ = fmt.Fprintf(&out, " %s=%v", name, val)
--- a/internal/zlog/zlog.go
+++ b/internal/zlog/zlog.go
@@ -1,5 +1,6 @@
-// Package zlog is the project's log: bounded, never blocking, and joined by the lines of
-// libraries. go-zero's log each HTTP call that they make; those come at level debug.
+// Package zlog provides the project's log, which is rate-limited and never blocks, and
+// redirects the logs of libraries to it. go-zero logs each HTTP call; these lines have level
+// debug.
 package zlog
 
 import (
@@ -11,32 +12,31 @@
 	"github.com/zeromicro/go-zero/core/stat"
 )
 
-// errorBurst lines of level error are written in each errorPeriod at most.
+// At most errorBurst lines of level error from go-zero are written in each errorPeriod.
 const (
 	errorBurst  = 5
 	errorPeriod = 30 * time.Second
 )
 
-// To sends go-zero's own log lines and those of Go's standard log through the project's
-// logger and switches go-zero's statistics off. It is called once a process, before any
-// instance is made.
+// To redirects the lines of go-zero and of Go's standard log to the project's logger and
+// disables go-zero's statistics. It is called once per process, before any instance is created.
 func To(lgr zerolog.Logger) {
-	// Libraries that are given no log write to the standard one, quic-go among them;
-	// their lines stood among ours as plain text, which nothing that reads JSON takes.
+	// Libraries without a configured logger, such as quic-go, write to the standard log.
+	// Their plain text would break programs that read the log as JSON.
 	log.SetFlags(0)
 	log.SetOutput(lgr.With().Str("from", "library").Logger())
-	// rest.NewServer sets go-zero's log up, once a process; had it not been
-	// done before, it would put its own writer in the place of ours.
+	// rest.NewServer sets up go-zero's log unless that has been done in this process, and
+	// would then replace our writer by its own.
 	_ = logx.SetUp(logx.LogConf{Mode: "console", Stat: false})
 	logx.DisableStat()
 	stat.SetReporter(nil)
-	// In an outage of the log httpc writes a line for each failed call, many a
-	// second, for what our own counters tell already.
+	// In an outage of the log service, httpc writes a line for each failed call, many per
+	// second, although these calls are counted in the metrics.
 	few := &zerolog.BurstSampler{Burst: errorBurst, Period: errorPeriod}
 	logx.SetWriter(bridge{log: lgr.With().Str("from", "go-zero").Logger().Sample(&zerolog.LevelSampler{ErrorSampler: few})})
 }
 
-// bridge is go-zero's log writer onto zerolog.
+// bridge implements go-zero's log writer on top of zerolog.
 type bridge struct {
 	log zerolog.Logger
 }
--- a/internal/zlog/zlog_test.go
+++ b/internal/zlog/zlog_test.go
@@ -12,9 +12,10 @@
 	"github.com/zeromicro/go-zero/core/logx"
 )
 
-// TestSameFaultIsNotWrittenForEver: httpc reports the same failed call a thousand
-// times. A few lines are written, through our logger and at the level they have.
-func TestSameFaultIsNotWrittenForEver(t *testing.T) {
+// TestRepeatedErrorsAreLimited guards against a log that is flooded by httpc, which writes
+// a line for each failed call. Of 1000 such lines, errorBurst are written, through our
+// logger and at their level.
+func TestRepeatedErrorsAreLimited(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	var buf bytes.Buffer
 	To(zerolog.New(&buf))
@@ -25,8 +26,8 @@
 	gom.Expect(buf.String()).To(gomega.ContainSubstring(`"level":"error","from":"go-zero"`))
 }
 
-// TestStandardLogIsStructured: a library writes to Go's standard log. Its line stands
-// among the others as JSON; as plain text it broke whoever read the log by program.
+// TestStandardLogIsStructured guards against plain text in the log, which breaks programs
+// that read it as JSON: a line that a library writes to Go's standard log comes out as JSON.
 func TestStandardLogIsStructured(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	var buf bytes.Buffer
