--- a/internal/feed/append.go
+++ b/internal/feed/append.go
@@ -13,18 +13,17 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// Constants of the appender.
 const (
-	appendWait    = 3 * time.Second
-	appendBackoff = 100 * time.Millisecond
-	maxBackoff    = 2 * time.Second
-	// maxBatch bounds the records of one append.
-	maxBatch = 256
-	// maxHeld bounds the records that wait through an outage.
-	maxHeld = 16384
+	appendTimeout    = 3 * time.Second
+	minAppendBackoff = 100 * time.Millisecond
+	maxAppendBackoff = 2 * time.Second
+	// maxBatchRecords is the maximum number of records in one append.
+	maxBatchRecords = 256
+	// maxPending is the maximum number of records that are queued in an outage.
+	maxPending = 16384
 )
 
-// Setup is what reading and appending need.
+// Setup has the dependencies of readers and appenders.
 type Setup struct {
 	Clock    clock.Clock
 	Platform *platf.Client
@@ -32,46 +31,46 @@
 	Log      zerolog.Logger
 }
 
-// Appender brings records into one stream: one append at a time, which takes
-// all that waits. The log takes several hundred appends a second for everybody,
-// so that records are grouped, not appends made more.
+// Appender appends records to one stream. It has one append in flight at a time,
+// with up to maxBatchRecords queued records. Records are batched because the log
+// accepts only several hundred appends per second from all its clients together.
 //
-// An append whose answer is lost is made again with the same records. Each fold
-// counts a repeated record once, so that this is safe; giving up instead would
-// leave a release or a settlement out, and the key held for good.
+// An append whose answer is lost is repeated with the same records. This is safe
+// because each fold ignores duplicate records. Without the repetition a release
+// or a settlement could be missing, and its key would stay claimed for ever.
 type Appender struct {
 	set    Setup
 	stream string
 	wake   chan struct{}
 
 	mtx     sync.Mutex
-	held    []Record
+	pending []Record
 	sending bool
 }
 
-// Record is a record on its way into the log.
+// Record is a record to be appended to the log.
 type Record struct {
 	Body json.RawMessage
-	// Until is the instant after which the record is not worth appending.
+	// Until is the instant at which the record expires and is dropped.
 	Until clock.Milli
-	// Drop tells that the record must not be appended any more; it is asked by
+	// Drop reports whether the record must no longer be appended. It is called on
 	// the appender's goroutine and may be nil.
 	Drop func() bool
 }
 
-// NewAppender returns the appender of a stream; Run makes it work.
+// NewAppender returns an appender to a stream. Its records are appended by Run.
 func NewAppender(set Setup, stream string) *Appender {
 	return &Appender{set: set, stream: stream, wake: make(chan struct{}, 1)}
 }
 
-// Add queues a record and gives false when too many wait.
+// Add queues a record. It returns false if the queue is full.
 func (app *Appender) Add(rec Record) bool {
 	app.mtx.Lock()
 	defer app.mtx.Unlock()
-	if len(app.held) >= maxHeld {
+	if len(app.pending) >= maxPending {
 		return false
 	}
-	app.held = append(app.held, rec)
+	app.pending = append(app.pending, rec)
 	select {
 	case app.wake <- struct{}{}:
 	default:
@@ -79,11 +78,11 @@
 	return true
 }
 
-// Run appends what is added until the context ends.
+// Run appends queued records until the context ends.
 func (app *Appender) Run(ctx context.Context) {
-	backoff := appendBackoff
+	backoff := minAppendBackoff
 	for {
-		batch := app.take(app.set.Clock.Now())
+		batch := app.nextBatch(app.set.Clock.Now())
 		if len(batch) == 0 {
 			select {
 			case <-ctx.Done():
@@ -93,48 +92,48 @@
 			continue
 		}
 		if app.send(ctx, batch) {
-			backoff = appendBackoff
+			backoff = minAppendBackoff
 			continue
 		}
-		app.giveBack(batch)
+		app.requeue(batch)
 		app.set.Meter.Event(meter.EventAppendRepeat)
 		if !Pause(ctx, backoff) {
 			return
 		}
-		backoff = min(2*backoff, maxBackoff)
+		backoff = min(2*backoff, maxAppendBackoff)
 	}
 }
 
-func (app *Appender) take(now clock.Milli) []Record {
+func (app *Appender) nextBatch(now clock.Milli) []Record {
 	app.mtx.Lock()
 	defer app.mtx.Unlock()
 	var batch, rest []Record
-	for _, rec := range app.held {
+	for _, rec := range app.pending {
 		switch {
 		case now >= rec.Until || rec.Drop != nil && rec.Drop():
 			app.set.Meter.Event(meter.EventAppendDrop)
-		case len(batch) < maxBatch:
+		case len(batch) < maxBatchRecords:
 			batch = append(batch, rec)
 		default:
 			rest = append(rest, rec)
 		}
 	}
-	app.held = rest
+	app.pending = rest
 	app.sending = len(batch) > 0
 	return batch
 }
 
-// Empty tells whether nothing waits or is under way.
+// Empty reports whether no record is queued or being appended.
 func (app *Appender) Empty() bool {
 	app.mtx.Lock()
 	defer app.mtx.Unlock()
-	return len(app.held) == 0 && !app.sending
+	return len(app.pending) == 0 && !app.sending
 }
 
-func (app *Appender) giveBack(batch []Record) {
+func (app *Appender) requeue(batch []Record) {
 	app.mtx.Lock()
 	defer app.mtx.Unlock()
-	app.held = append(batch, app.held...)
+	app.pending = append(batch, app.pending...)
 }
 
 func (app *Appender) send(ctx context.Context, batch []Record) bool {
@@ -142,7 +141,7 @@
 	for i, rec := range batch {
 		bodies[i] = rec.Body
 	}
-	ctx, cancel := context.WithTimeout(ctx, appendWait)
+	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	_, err := app.set.Platform.Append(ctx, app.stream, bodies)
 	if err != nil {
@@ -151,7 +150,7 @@
 	return err == nil
 }
 
-// Pause waits, and gives false when the context ended.
+// Pause sleeps for the span. It returns false if the context ends before.
 func Pause(ctx context.Context, span time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/feed/append_test.go
+++ b/internal/feed/append_test.go
@@ -16,9 +16,9 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// Guards against claims that come into the log although their attempts gave up while the
-// claims waited for an append before them.
-func TestGivenUpRecordsAreNotAppended(t *testing.T) {
+// Guards against claims that are appended to the log although their attempts were cancelled
+// while the claims were queued behind an append in flight.
+func TestDroppedRecordsAreNotAppended(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	plt := stand.NewPlatform(clock.Clock{}, clock.Day, 0)
 	srv := httptest.NewServer(plt.Handler())
@@ -51,8 +51,8 @@
 	gom.Expect(res.Body.String()).To(gomega.ContainSubstring(`amv_events_total{kind="append_dropped"} 1`))
 }
 
-// Guards against records that are left out of the log because an append that had taken
-// effect was given up.
+// Guards against records that are missing from the log because an append was not repeated
+// after its answer had been lost.
 func TestAppendIsRepeatedAfterALostReply(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	plt := stand.NewPlatform(clock.Clock{}, clock.Day, 0)
--- a/internal/feed/tail.go
+++ b/internal/feed/tail.go
@@ -12,38 +12,39 @@
 )
 
 const (
-	readWait    = clock.Second
+	maxPollWait = clock.Second
 	readTimeout = 4 * time.Second
 	readBackoff = 150 * time.Millisecond
 )
 
-// Follower is a fold that is fed with a stream.
+// Follower is a fold that consumes a stream.
 type Follower struct {
 	Stream string
-	// Do runs an event on the thread that owns the fold and waits for it; false
-	// when the context ended.
+	// Do runs an event on the control loop that owns the fold and waits for its end.
+	// It returns false if the context ends before.
 	Do func(ctx context.Context, event func(now clock.Milli)) bool
-	// Next gives the offset to read from.
+	// Next returns the offset of the next record to read.
 	Next func() int64
-	// Apply takes the next records.
+	// Apply applies the next records to the fold.
 	Apply func(recs []oplog.Record, now clock.Milli)
-	// Restart tells that the log now starts at an offset beyond Next.
+	// Restart makes the fold continue at start, the log's first offset, after the
+	// records from Next on were trimmed.
 	Restart func(start int64)
-	// Caught tells that the stream's end was read; asOf is an instant at which
-	// nothing beyond was there.
+	// Caught is called when the fold has caught up: it has applied all records that
+	// the stream had at asOf.
 	Caught func(asOf clock.Milli)
 }
 
-// waitFor gives how long a read may wait for records: not at all until the end
-// was read once, for an instance is not ready before.
-func waitFor(asOf clock.Milli) clock.Milli {
+// pollWait returns how long a read may wait for records. It is zero until a read
+// has succeeded, because the instance is not ready before.
+func pollWait(asOf clock.Milli) clock.Milli {
 	if asOf == 0 {
 		return 0
 	}
-	return readWait
+	return maxPollWait
 }
 
-// Tail reads a stream and feeds it to a follower until the context ends.
+// Tail reads a stream and passes its records to a fold until the context ends.
 func Tail(ctx context.Context, set Setup, flw Follower) {
 	var asOf clock.Milli
 	for {
@@ -51,30 +52,30 @@
 		if !flw.Do(ctx, func(clock.Milli) { from = flw.Next() }) {
 			return
 		}
-		// The instant before the question: a pause between the log's answer
-		// and its receipt must not make an old answer look fresh.
-		asked := set.Clock.Now()
+		// The time is taken before the read is sent, so that a delay between the
+		// log's answer and its receipt does not make a stale answer look fresh.
+		sentAt := set.Clock.Now()
 		rctx, cancel := context.WithTimeout(ctx, readTimeout)
-		bat, err := set.Platform.Read(rctx, flw.Stream, from, waitFor(asOf))
+		bat, err := set.Platform.Read(rctx, flw.Stream, from, pollWait(asOf))
 		cancel()
-		if err != nil && !readFailed(ctx, set, flw, err) {
+		if err != nil && !handleReadError(ctx, set, flw, err) {
 			return
 		}
 		if err == nil {
-			asOf = asked
+			asOf = sentAt
 		}
-		if err == nil && !flw.Do(ctx, func(now clock.Milli) { give(set, flw, from, bat, asked, now) }) {
+		if err == nil && !flw.Do(ctx, func(now clock.Milli) { deliver(set, flw, from, bat, sentAt, now) }) {
 			return
 		}
 	}
 }
 
-// readFailed deals with a read that gave no records; false when the context
-// ended.
-func readFailed(ctx context.Context, set Setup, flw Follower, err error) bool {
+// handleReadError handles a failed read. If the log was trimmed, it restarts the fold;
+// otherwise it pauses. It returns false if the context ended.
+func handleReadError(ctx context.Context, set Setup, flw Follower, err error) bool {
 	if start, ok := platf.IsTrimmed(err); ok {
 		set.Meter.Event(meter.EventLogTrimmed)
-		set.Log.Warn().Str("stream", flw.Stream).Int64("start", start).Msg("records were forgotten unread; starting over")
+		set.Log.Warn().Str("stream", flw.Stream).Int64("start", start).Msg("log was trimmed beyond the read offset; continuing at its first offset")
 		return flw.Do(ctx, func(clock.Milli) { flw.Restart(start) })
 	}
 	if ctx.Err() != nil {
@@ -84,15 +85,15 @@
 	return Pause(ctx, readBackoff+time.Duration(rand.Int64N(int64(readBackoff))))
 }
 
-func give(set Setup, flw Follower, from int64, bat oplog.Batch, asked, now clock.Milli) {
+func deliver(set Setup, flw Follower, from int64, bat oplog.Batch, sentAt, now clock.Milli) {
 	if bat.End < from {
-		// A replica of the log that is behind. What is applied stays applied,
-		// and the answer is no word that we are up to date.
+		// The answer comes from a lagging replica of the log. Applied records stay
+		// applied, and the answer does not show that the fold is up to date.
 		set.Meter.Event(meter.EventLogBack)
 		return
 	}
 	flw.Apply(bat.Records, now)
 	if flw.Next() >= bat.End {
-		flw.Caught(asked)
+		flw.Caught(sentAt)
 	}
 }
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -10,11 +10,10 @@
 	"strings"
 )
 
-// maxEvent bounds one event of a stream, in bytes.
-const maxEvent = 1 << 20
+const maxEventBytes = 1 << 20
 
 // WriteEvent writes one server-sent event (WHATWG HTML, section 9.2) and
-// flushes it, so that no token waits for the next.
+// flushes it, so that no token is delayed until the next one.
 func WriteEvent(wrt io.Writer, name string, val any) error {
 	data, err := json.Marshal(val)
 	if err != nil {
@@ -29,20 +28,20 @@
 	return nil
 }
 
-// EventReader reads server-sent events.
+// EventReader parses a stream of server-sent events.
 type EventReader struct {
 	scn *bufio.Scanner
 }
 
-// NewEventReader reads events from rdr.
+// NewEventReader returns a reader of the events in rdr.
 func NewEventReader(rdr io.Reader) *EventReader {
 	scn := bufio.NewScanner(rdr)
-	scn.Buffer(make([]byte, 0, 4096), maxEvent)
+	scn.Buffer(make([]byte, 0, 4096), maxEventBytes)
 	return &EventReader{scn: scn}
 }
 
-// Next gives the next event. An event that is cut off before its empty line is
-// not given: io.ErrUnexpectedEOF stands in its place.
+// Next returns the next event, or io.EOF at the end. For an event that is truncated
+// before its terminating empty line it returns io.ErrUnexpectedEOF.
 func (erd *EventReader) Next() (name string, data []byte, err error) {
 	begun := false
 	for erd.scn.Scan() {
@@ -66,29 +65,29 @@
 	return "", nil, io.EOF
 }
 
-// WriteJSON answers a request with a value.
+// WriteJSON writes a response with the JSON encoding of val as its body.
 func WriteJSON(wrt http.ResponseWriter, status int, val any) {
 	wrt.Header().Set("Content-Type", "application/json")
 	wrt.WriteHeader(status)
-	// The connection may be gone; the handler learns that from its context.
+	// The client may have disconnected, which ends the handler's context.
 	_ = json.NewEncoder(wrt).Encode(val)
 }
 
-// ReadJSON decodes a request's body strictly: unknown fields and trailing text
-// are errors, so that a misspelt "expires_ms" is not taken for none. The place
-// of a syntax error is given as a byte offset.
-func ReadJSON(rdr io.Reader, most int64, val any) error {
-	text, err := io.ReadAll(io.LimitReader(rdr, most+1))
+// ReadJSON decodes a request's body of at most maxBytes. Unknown fields and trailing
+// text are errors, so that a misspelt "expires_ms" does not count as absent. Errors
+// in the JSON text are reported with their byte offset.
+func ReadJSON(rdr io.Reader, maxBytes int64, val any) error {
+	text, err := io.ReadAll(io.LimitReader(rdr, maxBytes+1))
 	if err != nil {
 		return fmt.Errorf("the body could not be read: %w", err)
 	}
-	if int64(len(text)) > most {
-		return fmt.Errorf("the body is longer than %d bytes", most)
+	if int64(len(text)) > maxBytes {
+		return fmt.Errorf("the body is longer than %d bytes", maxBytes)
 	}
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(val); err != nil {
-		return placeOf(err, dec)
+		return withOffset(err, dec)
 	}
 	if dec.More() {
 		return fmt.Errorf("byte %d: text after the value", dec.InputOffset())
@@ -96,7 +95,7 @@
 	return nil
 }
 
-func placeOf(err error, dec *json.Decoder) error {
+func withOffset(err error, dec *json.Decoder) error {
 	switch err := err.(type) {
 	case *json.SyntaxError:
 		return fmt.Errorf("byte %d: %s", err.Offset, err.Error())
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,9 +1,10 @@
-// Package wire holds the shapes of all messages in JSON: between callers and
-// instances, operators and instances, instances and endpoints, instances and
-// the platform. docs/PROTOCOL.md tells what each field means; the instances'
-// own messages among themselves are in package peer.
+// Package wire defines the JSON messages between callers and instances, operators
+// and instances, instances and endpoints, and instances and the platform.
+// docs/PROTOCOL.md describes each field. The messages among instances are defined
+// in package peer.
 //
-// Field names are snake case, spans and instants are whole milliseconds.
+// Field names are in snake case; durations and instants are integers in
+// milliseconds.
 package wire
 
 import (
@@ -14,10 +15,9 @@
 	"amaranthvalve/pkg/lease"
 )
 
-// Headers of our own. None of them is named Idempotency-Key or
-// X-Idempotency-Key: Go's HTTP transport takes those names as leave to send a
-// POST a second time by itself when a reused connection breaks, and a booking
-// would run twice.
+// Headers of this protocol. None of them is named Idempotency-Key or
+// X-Idempotency-Key: with those names Go's HTTP transport resends a POST by itself
+// when a reused connection breaks, and a booking would run twice.
 const (
 	HeaderWorkspace = "Amv-Workspace"
 	HeaderAttempt   = "Amv-Attempt"
@@ -25,19 +25,19 @@
 	HeaderReason    = "Amv-Reason"
 	HeaderLoad      = "Amv-Load"
 	HeaderLeaving   = "Amv-Leaving"
-	// HeaderRan with the value "no" is an endpoint's word that it refused the
-	// request before any of it ran.
+	// HeaderRan with the value RanNo states that the endpoint refused the request
+	// before it executed any part of it.
 	HeaderRan = "Amv-Ran"
 	RanNo     = "no"
 )
 
-// Submit is a caller's request.
+// Submit is the body of a caller's request.
 type Submit struct {
 	Request string `json:"request,omitempty"`
 	Input   string `json:"input"`
-	// Key and ExpiresMs name a non-idempotent request and the instant after
-	// which the key is refused. First vouches that the key was never sent
-	// before, to any instance.
+	// Key identifies a non-idempotent request, and ExpiresMs is the instant after
+	// which the key is refused. With First the caller guarantees that it has not
+	// sent the key to any instance before.
 	Key        string      `json:"key,omitempty"`
 	ExpiresMs  clock.Milli `json:"expires_ms,omitempty"`
 	First      bool        `json:"first,omitempty"`
@@ -47,14 +47,14 @@
 	Resume     *Resume     `json:"resume,omitempty"`
 }
 
-// Resume takes up a stream that was cut: the token that its first event gave,
-// and the texts that the caller has.
+// Resume asks to resume an interrupted stream. Token is the resume token of its
+// first event, and Have are the texts that the caller has received.
 type Resume struct {
 	Token string   `json:"token"`
 	Have  []string `json:"have"`
 }
 
-// StageTime tells how one stage of a request went.
+// StageTime describes the execution of one stage of a request.
 type StageTime struct {
 	Name     string      `json:"name"`
 	Endpoint string      `json:"endpoint"`
@@ -63,8 +63,8 @@
 	Attempts int         `json:"attempts"`
 }
 
-// Answer is an instance's answer to a request; in a stream it is the closing
-// event.
+// Answer is an instance's answer to a request. In a stream it is the data of the
+// last event.
 type Answer struct {
 	Outcome      string      `json:"outcome"`
 	Reason       string      `json:"reason"`
@@ -77,7 +77,7 @@
 	Instance     string      `json:"instance,omitempty"`
 }
 
-// Names of the events in a stream to a caller and from an engine.
+// Names of the events in streams to callers and from engines.
 const (
 	EventOpen  = "open"
 	EventToken = "token"
@@ -90,37 +90,38 @@
 	Resume    string `json:"resume"`
 }
 
-// Token is one token of a stream; indexes start at 0 and have no gap.
+// Token is one token of a stream. Indexes start at 0 and are contiguous.
 type Token struct {
 	Attempt string `json:"attempt,omitempty"`
 	Index   int    `json:"index"`
 	Text    string `json:"text"`
 }
 
-// End closes an engine's stream and says how many tokens it had from index 0.
+// End is the last event of an engine's stream. Count is the number of tokens,
+// counted from index 0.
 type End struct {
 	Attempt  string      `json:"attempt"`
 	Count    int         `json:"count"`
 	EngineMs clock.Milli `json:"engine_ms"`
 }
 
-// Entries is the answer to "which address".
+// Entries is the answer to a caller's lookup of addresses.
 type Entries struct {
 	Entries []Entry `json:"entries"`
-	// KeepMs is how long the answer may be kept; an instance that stops goes
-	// on serving at least so long.
+	// KeepMs is how long the caller may cache the answer. An instance that shuts
+	// down continues to serve for at least this long.
 	KeepMs clock.Milli `json:"keep_ms"`
 }
 
-// Entry is one address for callers, best first. Boot is the number of the
-// process there, for tickets.
+// Entry is one address for callers; the best one comes first. Boot is the boot
+// number of the process at that address, for tickets.
 type Entry struct {
 	Addr string `json:"addr"`
 	Zone string `json:"zone"`
 	Boot string `json:"boot"`
 }
 
-// Run asks an endpoint to run a stage.
+// Run requests an endpoint to run a stage.
 type Run struct {
 	Attempt   string `json:"attempt"`
 	RequestID string `json:"request_id"`
@@ -129,19 +130,19 @@
 	Stage     string `json:"stage"`
 	Request   string `json:"request"`
 	Input     string `json:"input"`
-	// Inputs are the results that a stage takes, in its document's order, if it takes
-	// several; Input is empty then.
+	// Inputs are the inputs of a stage that takes several results, in the order of
+	// its document; Input is empty then.
 	Inputs   []string    `json:"inputs,omitempty"`
 	Priority int         `json:"priority"`
 	BudgetMs clock.Milli `json:"budget_ms"`
-	// MaxTokens, From and Have are for generation: go on at index From after
-	// the texts in Have.
+	// MaxTokens, From and Have apply to generation, which continues at index From
+	// after the texts in Have.
 	MaxTokens int      `json:"max_tokens,omitempty"`
 	From      int      `json:"from,omitempty"`
 	Have      []string `json:"have,omitempty"`
 }
 
-// Takes gives all that a stage takes as one text.
+// Takes returns all inputs of the stage as one text.
 func (run Run) Takes() string {
 	if len(run.Inputs) == 0 {
 		return run.Input
@@ -149,61 +150,62 @@
 	return strings.Join(run.Inputs, " ")
 }
 
-// Ran is an endpoint's answer.
+// Ran is an endpoint's answer to a [Run].
 type Ran struct {
 	Attempt  string      `json:"attempt"`
 	Output   string      `json:"output"`
 	EngineMs clock.Milli `json:"engine_ms"`
 }
 
-// Fail is an error answer of the platform or an endpoint.
+// Fail is the body of an error response.
 type Fail struct {
 	Error string `json:"error"`
 }
 
-// Load is an endpoint's report of itself.
+// Load is an endpoint's report of its load and state.
 type Load struct {
 	Load    int    `json:"load"`
 	Leaving bool   `json:"leaving"`
 	Model   string `json:"model,omitempty"`
 	Fence   int64  `json:"fence,omitempty"`
-	// Evicted lists prefix hashes that were dropped from the cache lately.
+	// Evicted lists hashes of prefixes that were recently evicted from the cache.
 	Evicted []uint64 `json:"evicted,omitempty"`
 }
 
-// Order tells an endpoint which model to have loaded. It states a result and
-// not a step, so that a repeated or late one does no harm.
+// Order sets the model that an endpoint has to have loaded. It is idempotent, as
+// it names the desired state and not a step: a repeated or late order is harmless.
 type Order struct {
 	Fence int64  `json:"fence"`
 	Model string `json:"model"`
 }
 
-// Append asks the log to take records, all or none, in this order.
+// Append requests the log to append records atomically, in this order.
 type Append struct {
 	Bodies []json.RawMessage `json:"bodies"`
 }
 
-// Appended gives the offset of the first record taken.
+// Appended is the answer to an [Append]: the offset of the first record.
 type Appended struct {
 	First int64 `json:"first"`
 }
 
-// Trimmed is the log's answer to a read of records it has forgotten.
+// Trimmed is the log's answer to a read of trimmed records: the offsets at which
+// the log now starts and ends.
 type Trimmed struct {
 	Start int64 `json:"start"`
 	End   int64 `json:"end"`
 }
 
-// Instance states.
+// States of an instance.
 const (
 	StateLive    = "live"
 	StateLeaving = "leaving"
 )
 
-// PoolEntry is the pool's name under which entry instances stand in the list.
+// PoolEntry is the pool of the entry instances in the platform's instance list.
 const PoolEntry = "entry"
 
-// Instance is a line of the platform's instance list.
+// Instance is an entry of the platform's instance list.
 type Instance struct {
 	ID    string `json:"id"`
 	Addr  string `json:"addr"`
@@ -217,19 +219,19 @@
 	Instances []Instance `json:"instances"`
 }
 
-// Publish asks an instance to append a document. ID names the offer, so that
-// the same call may be repeated when its answer was lost.
+// Publish requests an instance to append a document. ID identifies the request, so
+// that it can be repeated if its answer is lost.
 type Publish struct {
 	ID   string `json:"id"`
 	Base int64  `json:"base"`
 	Text string `json:"text"`
 	By   string `json:"by"`
-	// WaitMs is how long to wait for the document to be in force everywhere.
+	// WaitMs bounds the wait for the document to be in force on all instances.
 	WaitMs clock.Milli `json:"wait_ms"`
 }
 
-// Published is the answer: what became of the offer, and where the document is
-// not in force yet.
+// Published is the answer to a [Publish]: the verdict, and in Behind the instances
+// where the document is not in force yet.
 type Published struct {
 	Verdict  string      `json:"verdict"`
 	Detail   string      `json:"detail,omitempty"`
@@ -239,14 +241,14 @@
 	TookMs   clock.Milli `json:"took_ms"`
 }
 
-// Document is a document in force.
+// Document is a service document in force.
 type Document struct {
 	Service  string `json:"service"`
 	Revision int64  `json:"revision"`
 	Text     string `json:"text"`
 }
 
-// Change is a line of a service's history.
+// Change is an entry of a service's history.
 type Change struct {
 	ID      string      `json:"id"`
 	Offset  int64       `json:"offset"`
@@ -257,10 +259,10 @@
 	Detail  string      `json:"detail,omitempty"`
 }
 
-// StatusPath is where an instance tells how it stands.
+// StatusPath is the path of an instance's status.
 const StatusPath = "/v1/status"
 
-// Status is what an instance tells a person of itself.
+// Status is the status of an instance, for operators.
 type Status struct {
 	Instance  string           `json:"instance"`
 	Zone      string           `json:"zone"`
@@ -272,7 +274,7 @@
 	Services  []StatusService  `json:"services"`
 	Endpoints []StatusEndpoint `json:"endpoints"`
 	Leases    []StatusLease    `json:"leases"`
-	// Gatherers are the instances that gather pools' pieces.
+	// Gatherers are the coordinators of pools.
 	Gatherers []StatusGatherer `json:"gatherers,omitempty"`
 	Refusals  map[string]int64 `json:"refusals"`
 	Keys      int              `json:"keys"`
@@ -287,7 +289,7 @@
 	Load     int    `json:"load"`
 }
 
-// StatusGatherer is the instance that gathers a pool's pieces, in a [Status].
+// StatusGatherer is the coordinator of a pool in a [Status].
 type StatusGatherer struct {
 	Pool     string `json:"pool"`
 	Instance string `json:"instance"`
@@ -318,7 +320,7 @@
 	Until  clock.Milli `json:"until_ms"`
 }
 
-// LeaseOf fills a status line from a tenure.
+// LeaseOf returns the status of a lease with its current tenure.
 func LeaseOf(name string, ten lease.Tenure) StatusLease {
 	return StatusLease{Name: name, Holder: string(ten.Holder()), Fence: ten.Fence(), Until: ten.Until()}
 }
