--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -1,17 +1,18 @@
-// Package caller is what a caller of the system does: it asks which addresses
-// to use, keeps the answer, sends its request there, and goes on at another
-// address when the first one fails, without running anything twice.
+// Package caller is a client for callers of the system. It looks up the addresses
+// of instances, caches them, sends requests there and fails over to another address
+// without executing a request twice.
 //
-// The rules, which docs/PROTOCOL.md gives to those who write their own:
+// It follows these rules, which docs/PROTOCOL.md describes for other clients:
 //
-//   - An address that could not be connected to, or that refused as stopping or
-//     stale, has run nothing: the next one is tried at once.
-//   - A request with a key may be repeated anywhere, with the same key and
-//     without the word "first".
-//   - A cut stream is taken up with its token and the texts had so far.
-//   - Any other request whose answer was cut is not repeated here; the caller
-//     is told.
-//   - A refusal that names a time is not repeated before it.
+//   - If no connection could be established, or if the instance refused because it is
+//     stopping or its view is stale, nothing has been executed: the next address is
+//     tried at once.
+//   - A request with a key may be retried at any address, with the same key and
+//     without "first".
+//   - An interrupted stream is resumed with its resume token and the texts received
+//     so far.
+//   - Any other request whose answer was lost is not retried; the error is returned.
+//   - A refusal with a retry-after delay is not retried earlier.
 package caller
 
 import (
@@ -35,8 +36,8 @@
 	"amaranthvalve/pkg/outcm"
 )
 
-// maxTries bounds the addresses that one request is sent to.
-const maxTries = 4
+// maxAttempts is the maximum number of times that a request is sent.
+const maxAttempts = 4
 
 // Client calls services as one workspace.
 type Client struct {
@@ -47,38 +48,38 @@
 	token     string
 	zone      string
 
-	// OnOpen is told of each stream's start; it may be nil.
+	// OnOpen is called at the start of each stream; it may be nil.
 	OnOpen func(wire.Open)
 
-	known  []wire.Entry
-	keptTo clock.Milli
+	known      []wire.Entry
+	knownUntil clock.Milli
 }
 
-// New returns a client that learns addresses from the seeds. It is used by one
-// goroutine.
+// New returns a client that looks up addresses at the seeds. It is not safe for
+// concurrent use.
 func New(seeds []string, workspace, token, zone string) *Client {
 	return &Client{svc: platf.Service("entry"), seeds: seeds, workspace: workspace, token: token, zone: zone}
 }
 
-// Entries asks which addresses to use, best first, and keeps the answer for as
-// long as it says.
+// Entries looks up the addresses for a service, best first, and caches them for as
+// long as the answer allows.
 func (cli *Client) Entries(ctx context.Context, service string) (wire.Entries, error) {
 	var errAll error
-	for _, addr := range cli.askWhom() {
-		ent, err := cli.ask(ctx, addr, service)
+	for _, addr := range cli.lookupAddrs() {
+		ent, err := cli.lookup(ctx, addr, service)
 		if err == nil && len(ent.Entries) > 0 {
-			cli.known, cli.keptTo = ent.Entries, cli.clk.Now()+ent.KeepMs
+			cli.known, cli.knownUntil = ent.Entries, cli.clk.Now()+ent.KeepMs
 			return ent, nil
 		}
 		if err == nil {
-			err = fmt.Errorf("%s names no address", addr)
+			err = fmt.Errorf("%s returned no address", addr)
 		}
 		errAll = errors.Join(errAll, err)
 	}
 	return wire.Entries{}, errAll
 }
 
-func (cli *Client) askWhom() []string {
+func (cli *Client) lookupAddrs() []string {
 	addrs := make([]string, 0, len(cli.known)+len(cli.seeds))
 	for _, ent := range cli.known {
 		addrs = append(addrs, ent.Addr)
@@ -86,7 +87,7 @@
 	return append(addrs, cli.seeds...)
 }
 
-func (cli *Client) ask(ctx context.Context, addr, service string) (wire.Entries, error) {
+func (cli *Client) lookup(ctx context.Context, addr, service string) (wire.Entries, error) {
 	query := url.Values{"service": {service}, "zone": {cli.zone}}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/entries?"+query.Encode(), nil)
 	if err != nil {
@@ -104,33 +105,33 @@
 	return ent, json.NewDecoder(res.Body).Decode(&ent)
 }
 
-// Call sends a request and gives its answer. take is told each token of a
-// stream, once and in order; it may be nil.
-func (cli *Client) Call(ctx context.Context, service string, sub wire.Submit, take func(wire.Token)) wire.Answer {
-	last := lost(outcm.NotRun, outcm.NoEndpoint, "no instance could be reached")
-	str := &streamed{take: take, opened: cli.OnOpen}
-	for range maxTries {
-		addr, err := cli.next(ctx, service)
+// Call sends a request, with failover, and returns its answer. It calls onToken for
+// each token of a stream, once and in order; onToken may be nil.
+func (cli *Client) Call(ctx context.Context, service string, sub wire.Submit, onToken func(wire.Token)) wire.Answer {
+	last := localAnswer(outcm.NotRun, outcm.NoEndpoint, "no instance could be reached")
+	str := &streamState{onToken: onToken, onOpen: cli.OnOpen}
+	for range maxAttempts {
+		addr, err := cli.bestAddr(ctx, service)
 		if err != nil {
 			if last.Outcome == outcm.NotRun.String() {
 				last.Detail = err.Error()
 			}
 			return last
 		}
-		ans, again := cli.once(ctx, addr, service, str.fill(sub), str)
-		if !again || ctx.Err() != nil {
+		ans, retry := cli.attempt(ctx, addr, service, str.withResume(sub), str)
+		if !retry || ctx.Err() != nil {
 			return ans
 		}
 		last = ans
-		// Whatever became of this attempt, the key has now been sent.
+		// The key has now been sent, whatever the result of the attempt.
 		sub.First = false
 	}
 	return last
 }
 
-// Ticket gives a key that is bound to the best instance, and its address: for a
-// non-idempotent request in an outage of the log. Keep both before sending; the
-// request and its repeats go to that address by CallAt.
+// Ticket returns a key that is bound to the best instance, and that instance's
+// address, for a non-idempotent request in an outage of the log. Store both before
+// sending; send the request and its retries to that address with CallAt.
 func (cli *Client) Ticket(ctx context.Context, service string) (key, addr string, err error) {
 	ent, err := cli.Entries(ctx, service)
 	if err != nil {
@@ -140,16 +141,16 @@
 	return claim.TicketKey(best.Boot), best.Addr, nil
 }
 
-// CallAt sends a request once to one address, whatever becomes of it.
-func (cli *Client) CallAt(ctx context.Context, addr, service string, sub wire.Submit, take func(wire.Token)) wire.Answer {
-	ans, _ := cli.once(ctx, addr, service, sub, &streamed{take: take, opened: cli.OnOpen})
+// CallAt sends a request once, to one address, without failover.
+func (cli *Client) CallAt(ctx context.Context, addr, service string, sub wire.Submit, onToken func(wire.Token)) wire.Answer {
+	ans, _ := cli.attempt(ctx, addr, service, sub, &streamState{onToken: onToken, onOpen: cli.OnOpen})
 	return ans
 }
 
-// next gives the best address that has not failed, asking again when the kept
-// answer has run out.
-func (cli *Client) next(ctx context.Context, service string) (string, error) {
-	if len(cli.known) == 0 || cli.clk.Now() >= cli.keptTo {
+// bestAddr returns the best address that has not failed. It repeats the lookup when
+// the cached addresses have expired or all have failed.
+func (cli *Client) bestAddr(ctx context.Context, service string) (string, error) {
+	if len(cli.known) == 0 || cli.clk.Now() >= cli.knownUntil {
 		if _, err := cli.Entries(ctx, service); err != nil {
 			return "", err
 		}
@@ -157,7 +158,7 @@
 	return cli.known[0].Addr, nil
 }
 
-// forget drops an address that failed.
+// forget removes a failed address from the cache.
 func (cli *Client) forget(addr string) {
 	var rest []wire.Entry
 	for _, ent := range cli.known {
@@ -168,20 +169,20 @@
 	cli.known = rest
 }
 
-// once sends the request to one address and tells whether another may be tried.
-func (cli *Client) once(ctx context.Context, addr, service string, sub wire.Submit, str *streamed) (wire.Answer, bool) {
+// attempt sends the request to one address and reports whether it may be retried.
+func (cli *Client) attempt(ctx context.Context, addr, service string, sub wire.Submit, str *streamState) (wire.Answer, bool) {
 	var connected atomic.Bool
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
 	text, err := json.Marshal(sub)
 	if err != nil {
-		return lost(outcm.NotRun, outcm.BadRequest, err.Error()), false
+		return localAnswer(outcm.NotRun, outcm.BadRequest, err.Error()), false
 	}
 	path := "http://" + addr + "/v1/services/" + url.PathEscape(service) + "/requests"
 	req, err := http.NewRequestWithContext(traced, http.MethodPost, path, bytes.NewReader(text))
 	if err != nil {
-		return lost(outcm.NotRun, outcm.BadRequest, err.Error()), false
+		return localAnswer(outcm.NotRun, outcm.BadRequest, err.Error()), false
 	}
 	req.GetBody = nil
 	req.Header.Set(wire.HeaderWorkspace, cli.workspace)
@@ -192,27 +193,27 @@
 	if err != nil {
 		cli.forget(addr)
 		if !connected.Load() {
-			return lost(outcm.NotRun, outcm.NoEndpoint, err.Error()), true
+			return localAnswer(outcm.NotRun, outcm.NoEndpoint, err.Error()), true
 		}
-		return lost(outcm.Unknown, outcm.ConnectionCut, err.Error()), sub.Key != "" || str.canResume()
+		return localAnswer(outcm.Unknown, outcm.ConnectionCut, err.Error()), sub.Key != "" || str.canResume()
 	}
 	defer func() { _ = res.Body.Close() }()
 	return cli.read(addr, res, sub, str)
 }
 
-func (cli *Client) read(addr string, res *http.Response, sub wire.Submit, str *streamed) (wire.Answer, bool) {
+func (cli *Client) read(addr string, res *http.Response, sub wire.Submit, str *streamState) (wire.Answer, bool) {
 	if res.Header.Get("Content-Type") == "text/event-stream" {
-		ans, whole := str.read(res.Body)
-		if !whole {
+		ans, complete := str.read(res.Body)
+		if !complete {
 			cli.forget(addr)
-			return lost(outcm.Failed, outcm.StreamCut, "the stream was cut"), str.canResume()
+			return localAnswer(outcm.Failed, outcm.StreamCut, "the stream is incomplete"), str.canResume()
 		}
 		return ans, false
 	}
 	var ans wire.Answer
 	if err := json.NewDecoder(res.Body).Decode(&ans); err != nil {
 		cli.forget(addr)
-		return lost(outcm.Unknown, outcm.ConnectionCut, err.Error()), sub.Key != ""
+		return localAnswer(outcm.Unknown, outcm.ConnectionCut, err.Error()), sub.Key != ""
 	}
 	elsewhere := ans.Reason == outcm.Stopping.String() || ans.Reason == outcm.StaleView.String()
 	if elsewhere {
@@ -221,31 +222,32 @@
 	return ans, elsewhere
 }
 
-func lost(oc outcm.Outcome, rs outcm.Reason, detail string) wire.Answer {
+func localAnswer(oc outcm.Outcome, rs outcm.Reason, detail string) wire.Answer {
 	return wire.Answer{Outcome: oc.String(), Reason: rs.String(), Detail: detail}
 }
 
-// streamed is what a caller has of a stream, over all its connections.
-type streamed struct {
-	take   func(wire.Token)
-	opened func(wire.Open)
-	have   []string
-	resume string
+// streamState is the state of a stream across all its connections.
+type streamState struct {
+	onToken func(wire.Token)
+	onOpen  func(wire.Open)
+	have    []string
+	resume  string
 }
 
-func (str *streamed) canResume() bool { return str.resume != "" }
+func (str *streamState) canResume() bool { return str.resume != "" }
 
-// fill adds what is needed to take the stream up.
-func (str *streamed) fill(sub wire.Submit) wire.Submit {
+// withResume adds to sub the data to resume the stream, if it has begun.
+func (str *streamState) withResume(sub wire.Submit) wire.Submit {
 	if str.canResume() {
 		sub.Resume = &wire.Resume{Token: str.resume, Have: str.have}
 	}
 	return sub
 }
 
-// read reads one connection's events. The stream is whole only if its closing
-// event came and its count is that of the texts had.
-func (str *streamed) read(body interface{ Read([]byte) (int, error) }) (wire.Answer, bool) {
+// read reads the events of one connection. It reports whether the stream is complete:
+// its last event was received, and a successful outcome has the count of the texts
+// received.
+func (str *streamState) read(body interface{ Read([]byte) (int, error) }) (wire.Answer, bool) {
 	erd := wire.NewEventReader(body)
 	for {
 		name, data, err := erd.Next()
@@ -257,8 +259,8 @@
 			var opn wire.Open
 			if json.Unmarshal(data, &opn) == nil && opn.Resume != "" {
 				str.resume = opn.Resume
-				if str.opened != nil {
-					str.opened(opn)
+				if str.onOpen != nil {
+					str.onOpen(opn)
 				}
 			}
 		case wire.EventToken:
@@ -276,8 +278,9 @@
 	}
 }
 
-// add takes the next token; one had before is skipped, a gap ends the reading.
-func (str *streamed) add(tok wire.Token) bool {
+// add adds a token. It skips a token that was received before and returns false for
+// a gap.
+func (str *streamState) add(tok wire.Token) bool {
 	if tok.Index < len(str.have) {
 		return true
 	}
@@ -285,13 +288,13 @@
 		return false
 	}
 	str.have = append(str.have, tok.Text)
-	if str.take != nil {
-		str.take(tok)
+	if str.onToken != nil {
+		str.onToken(tok)
 	}
 	return true
 }
 
-// Wait pauses for a refusal's time to come back.
+// Wait waits for the retry-after delay of a refusal or the end of the context.
 func Wait(ctx context.Context, ans wire.Answer) {
 	select {
 	case <-ctx.Done():
--- a/internal/platf/platf.go
+++ b/internal/platf/platf.go
@@ -1,8 +1,9 @@
-// Package platf speaks to the platform: the log service and the instance list.
+// Package platf is the client of the platform, that is, of its log service and its
+// instance list.
 //
-// It decides nothing. An append whose answer is lost is reported as an error
-// and may have taken effect; the caller settles that by reading its own record
-// back. The client bounds its own idle connections and follows no redirects.
+// It does not retry. An append whose answer is lost is reported as an error and
+// may have taken effect, which the caller finds out by reading the stream. The
+// client limits its idle connections and does not follow redirects.
 package platf
 
 import (
@@ -26,47 +27,48 @@
 	"amaranthvalve/pkg/oplog"
 )
 
-// The streams of the log.
+// Streams of the log.
 const (
 	StreamDocs   = "docs"
 	StreamClaims = "claims"
 	StreamLeases = "leases"
 )
 
-// Error is the class of errors that say the platform did not answer as asked.
+// Error is the class of errors of failed calls to the platform.
 var Error = errs.Class("platform")
 
-// maxAnswer bounds an answer of the log.
-const maxAnswer = 64 << 20
+// maxReplyBytes bounds the body of an answer.
+const maxReplyBytes = 64 << 20
 
-// TrimmedError tells that the log has forgotten the records asked for.
+// TrimmedError reports that the requested records have been trimmed from the log.
 type TrimmedError struct {
 	start int64
 }
 
-// Start gives the oldest offset that the log still has.
+// Start returns the first offset that the log still has.
 func (err *TrimmedError) Start() int64 { return err.start }
 
-// Error tells the place.
+// Error implements error.
 func (err *TrimmedError) Error() string {
 	return fmt.Sprintf("the log starts at offset %d", err.start)
 }
 
-// Client speaks to one platform.
+// Client is a client of one platform.
 type Client struct {
 	base string
 	svc  httpc.Service
 }
 
-// New returns a client of the platform at base, such as "http://10.0.0.1:7000".
+// New returns a client of the platform at the URL base, such as
+// "http://10.0.0.1:7000".
 func New(base string) *Client {
 	return &Client{base: base, svc: Service("platform")}
 }
 
-// Service returns an httpc service that sends each request at most once and
-// refuses none by itself. httpc's own breaker would refuse by a rule that
-// nobody sees or counts, so it is switched off; redirects 307 and 308 would
-// send a body again, so none is followed.
+// Service returns an httpc service that sends each request at most once and rejects
+// none by itself. httpc's circuit breaker is disabled, because it would reject
+// requests by a rule that is neither visible nor counted. Redirects are not
+// followed, because 307 and 308 would send the body again.
 func Service(name string) httpc.Service {
 	breaker.NoBreakerFor(name)
 	return httpc.NewServiceWithClient(name, &http.Client{
@@ -81,16 +83,16 @@
 	})
 }
 
-// Append adds records to a stream and gives the offset of the first. After an
-// error they may or may not be there.
+// Append appends records to a stream and returns the offset of the first. After an
+// error the records may or may not have been appended.
 func (cli *Client) Append(ctx context.Context, stream string, bodies []json.RawMessage) (int64, error) {
 	var done wire.Appended
 	err := cli.call(ctx, http.MethodPost, "/v1/streams/"+stream+"/records", wire.Append{Bodies: bodies}, &done)
 	return done.First, err
 }
 
-// Read gives the records of a stream from an offset, and waits up to wait for
-// the first one. A [TrimmedError] tells that the offset was forgotten.
+// Read returns the records of a stream from an offset on, and waits at most wait for
+// the first one. It returns a [TrimmedError] if the offset has been trimmed.
 func (cli *Client) Read(ctx context.Context, stream string, from int64, wait clock.Milli) (oplog.Batch, error) {
 	query := url.Values{}
 	query.Set("from", strconv.FormatInt(from, 10))
@@ -100,19 +102,19 @@
 	return bat, err
 }
 
-// List gives the instance list.
+// List returns the instance list.
 func (cli *Client) List(ctx context.Context) ([]wire.Instance, error) {
 	var list wire.Instances
 	err := cli.call(ctx, http.MethodGet, "/v1/instances", nil, &list)
 	return list.Instances, err
 }
 
-// Put writes or renews a line of the instance list.
+// Put writes or renews an entry of the instance list.
 func (cli *Client) Put(ctx context.Context, inst wire.Instance) error {
 	return cli.call(ctx, http.MethodPut, "/v1/instances/"+url.PathEscape(inst.ID), inst, nil)
 }
 
-// Remove takes a line out of the instance list.
+// Remove removes an entry from the instance list.
 func (cli *Client) Remove(ctx context.Context, id string) error {
 	return cli.call(ctx, http.MethodDelete, "/v1/instances/"+url.PathEscape(id), nil, nil)
 }
@@ -123,10 +125,11 @@
 		return Error.Wrap(err)
 	}
 	defer func() { _ = res.Body.Close() }()
-	return readAnswer(res, answer)
+	return decodeReply(res, answer)
 }
 
-// Send sends a request with a JSON body, once; a nil body sends none.
+// Send sends a request once, with body encoded as JSON, or without a body if it is
+// nil.
 func Send(ctx context.Context, svc httpc.Service, method, address string, body any) (*http.Response, error) {
 	var rdr io.Reader
 	if body != nil {
@@ -140,13 +143,13 @@
 	if err != nil {
 		return nil, err
 	}
-	// Without GetBody the transport can't send the body a second time.
+	// Without GetBody the transport can't resend the body.
 	req.GetBody = nil
 	return svc.DoRequest(req)
 }
 
-func readAnswer(res *http.Response, answer any) error {
-	text, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+func decodeReply(res *http.Response, answer any) error {
+	text, err := io.ReadAll(io.LimitReader(res.Body, maxReplyBytes))
 	if err != nil {
 		return Error.Wrap(err)
 	}
@@ -165,8 +168,8 @@
 	return Error.Wrap(json.Unmarshal(text, answer))
 }
 
-// IsTrimmed gives the log's oldest offset if the error says that it has
-// forgotten what was asked for.
+// IsTrimmed reports whether err is a [TrimmedError], and returns the first offset
+// that the log still has.
 func IsTrimmed(err error) (start int64, ok bool) {
 	var trm *TrimmedError
 	if errors.As(err, &trm) {
