--- a/internal/feed/append.go
+++ b/internal/feed/append.go
@@ -36,8 +36,8 @@
 // accepts only several hundred appends per second from all its clients together.
 //
 // An append whose answer is lost is repeated with the same records. This is safe
-// because each fold ignores duplicate records. Without the repetition a release
-// or a settlement could be missing, and its key would stay claimed for ever.
+// because each state machine ignores duplicate records. Without the repetition a
+// release or a settlement could be missing, and its key would stay claimed for ever.
 type Appender struct {
 	set    Setup
 	stream string
--- a/internal/feed/tail.go
+++ b/internal/feed/tail.go
@@ -17,21 +17,21 @@
 	readBackoff = 150 * time.Millisecond
 )
 
-// Follower is a fold that consumes a stream.
+// Follower is a state machine that consumes a stream.
 type Follower struct {
 	Stream string
-	// Do runs an event on the control loop that owns the fold and waits for its end.
-	// It returns false if the context ends before.
+	// Do runs an event on the control loop that owns the state machine and waits for
+	// its end. It returns false if the context ends before.
 	Do func(ctx context.Context, event func(now clock.Milli)) bool
 	// Next returns the offset of the next record to read.
 	Next func() int64
-	// Apply applies the next records to the fold.
+	// Apply applies the next records.
 	Apply func(recs []oplog.Record, now clock.Milli)
-	// Restart makes the fold continue at start, the log's first offset, after the
-	// records from Next on were trimmed.
+	// Restart makes the state machine continue at start, the log's first offset, after
+	// the records from Next on were trimmed.
 	Restart func(start int64)
-	// Caught is called when the fold has caught up: it has applied all records that
-	// the stream had at asOf.
+	// Caught is called when the state machine has caught up: it has applied all records
+	// that the stream had at asOf.
 	Caught func(asOf clock.Milli)
 }
 
@@ -44,7 +44,8 @@
 	return maxPollWait
 }
 
-// Tail reads a stream and passes its records to a fold until the context ends.
+// Tail reads a stream and passes its records to a state machine until the context
+// ends.
 func Tail(ctx context.Context, set Setup, flw Follower) {
 	var asOf clock.Milli
 	for {
@@ -70,8 +71,8 @@
 	}
 }
 
-// handleReadError handles a failed read. If the log was trimmed, it restarts the fold;
-// otherwise it pauses. It returns false if the context ended.
+// handleReadError handles a failed read. If the log was trimmed, it restarts the state
+// machine; otherwise it pauses. It returns false if the context ended.
 func handleReadError(ctx context.Context, set Setup, flw Follower, err error) bool {
 	if start, ok := platf.IsTrimmed(err); ok {
 		set.Meter.Event(meter.EventLogTrimmed)
@@ -88,7 +89,7 @@
 func deliver(set Setup, flw Follower, from int64, bat oplog.Batch, sentAt, now clock.Milli) {
 	if bat.End < from {
 		// The answer comes from a lagging replica of the log. Applied records stay
-		// applied, and the answer does not show that the fold is up to date.
+		// applied, and the answer does not show that they are all.
 		set.Meter.Event(meter.EventLogBack)
 		return
 	}
