--- a/cmd/amvnode/main.go
+++ b/cmd/amvnode/main.go
@@ -8,4 +8,4 @@
 	"amaranthvalve/internal/shell"
 )
 
-func main() { os.Exit(shell.RunNode(os.Args[1:], os.Stdout, os.Stderr, early.Taken())) }
+func main() { os.Exit(shell.RunNode(os.Args[1:], os.Stdout, os.Stderr, early.Registered())) }
--- a/internal/batch/pool.go
+++ b/internal/batch/pool.go
@@ -56,7 +56,7 @@
 	wakeAt          clock.Milli
 	pendingReleases map[string][]string
 	// inFlight has the calls in progress.
-	inFlight ident.Watch
+	inFlight ident.RestartWatch
 	// lastOrder is when the last order arrived; endpoints, resultStorage and resultTTL come from
 	// the service documents and the list of endpoints.
 	lastOrder     clock.Milli
@@ -77,7 +77,7 @@
 	pol.linkMbps, pol.resultStorage, pol.resultTTL, pol.endpoints = spc.Link, spc.ResultBytes, spc.ResultTTL, makers
 	pol.sched.Sync(makers)
 	for _, mkr := range makers {
-		pol.inFlight.Listed(ident.Process(mkr.ID))
+		pol.inFlight.RunListed(ident.Process(mkr.ID))
 	}
 	pol.dispatch()
 }
@@ -216,7 +216,7 @@
 	items := pol.requestItems(bat)
 	ctx, cancel := context.WithTimeout(context.Background(), bat.Timeout.Duration())
 	defer cancel()
-	defer pol.inFlight.Watch(ident.Process(bat.Endpoint.ID), cancel)()
+	defer pol.inFlight.Add(ident.Process(bat.Endpoint.ID), cancel)()
 	ep := proto.Endpoint{ID: ident.Process(bat.Endpoint.ID), Pool: pol.name, Addr: bat.Endpoint.Addr, Zone: bat.Endpoint.Zone}
 	fetch := time.AfterFunc(pol.fetchTime(bat), func() { pol.inputsFetched(bat) })
 	defer fetch.Stop()
@@ -340,7 +340,7 @@
 		ref.ord.complete(flaw)
 		return
 	}
-	pol.set.Meter.Retried(retry.Refused)
+	pol.set.Meter.CountRetry(retry.Refused)
 	pol.add(ref.ord, ref.index, ref.ord.Count > 1)
 }
 
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -58,7 +58,7 @@
 // New returns a client that looks up addresses at the seeds. It is not safe for
 // concurrent use.
 func New(seeds []string, workspace, token, zone string) *Client {
-	return &Client{svc: platf.Service("entry"), seeds: seeds, workspace: workspace, token: token, zone: zone}
+	return &Client{svc: platf.NewService("entry"), seeds: seeds, workspace: workspace, token: token, zone: zone}
 }
 
 // Entries looks up the addresses for a service, best first, and caches them for as
@@ -294,8 +294,8 @@
 	return true
 }
 
-// Wait waits for the retry-after delay of a refusal or the end of the context.
-func Wait(ctx context.Context, ans wire.Answer) {
+// WaitRetryAfter waits for the retry-after delay of a refusal or the end of the context.
+func WaitRetryAfter(ctx context.Context, ans wire.Answer) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(ans.RetryAfterMs.Duration()):
--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -15,7 +15,7 @@
 	"net/url"
 	"os"
 
-	"amaranthvalve/internal/place"
+	"amaranthvalve/internal/tomlx"
 	"amaranthvalve/pkg/claim"
 	"amaranthvalve/pkg/clock"
 )
@@ -117,8 +117,8 @@
 // Platform returns the base URL of the platform.
 func (set *Settings) Platform() string { return set.raw.Platform }
 
-// Store returns the host and port of the platform's base URL.
-func (set *Settings) Store() string {
+// StoreAddr returns the host and port of the platform's base URL.
+func (set *Settings) StoreAddr() string {
 	base, err := url.Parse(set.raw.Platform)
 	if err != nil {
 		return ""
@@ -130,12 +130,12 @@
 // list is unavailable.
 func (set *Settings) Peers() []string { return set.raw.Peers }
 
-// Keep returns how long callers may cache an address.
-func (set *Settings) Keep() clock.Milli { return clock.Milli(set.raw.KeepMs) }
+// EntryTTL returns how long callers may cache an address.
+func (set *Settings) EntryTTL() clock.Milli { return clock.Milli(set.raw.KeepMs) }
 
-// Fresh returns how long an instance may serve without confirmation from the log
+// MaxLogAge returns how long an instance may serve without confirmation from the log
 // that its state is current.
-func (set *Settings) Fresh() clock.Milli { return clock.Milli(set.raw.FreshMs) }
+func (set *Settings) MaxLogAge() clock.Milli { return clock.Milli(set.raw.FreshMs) }
 
 // LogRetention returns the retention of the platform's log.
 func (set *Settings) LogRetention() clock.Milli { return clock.Milli(set.raw.LogRetentionMs) }
@@ -161,25 +161,25 @@
 // no separate listener for them.
 func (set *Settings) MetricsAddr() string { return set.raw.MetricsAddr }
 
-// TokensFor returns how long tokens are accepted after the documents were last
+// TokenMaxViewAge returns how long tokens are accepted after the documents were last
 // known to be in force.
-func (set *Settings) TokensFor() clock.Milli { return clock.Milli(set.raw.TokensForMs) }
+func (set *Settings) TokenMaxViewAge() clock.Milli { return clock.Milli(set.raw.TokensForMs) }
 
-// Retries returns the retry budget of a pool, for all instances together: the
+// RetryBudget returns the retry budget of a pool, for all instances together: the
 // share of its requests that may be retried and the number of further retries in
 // each window.
-func (set *Settings) Retries() (share, reserve float64, window clock.Milli) {
+func (set *Settings) RetryBudget() (share, reserve float64, window clock.Milli) {
 	return set.raw.RetryShare, set.raw.RetryReserve, clock.Milli(set.raw.RetryWindowMs)
 }
 
-// Stop returns the maximum duration of a planned shutdown.
-func (set *Settings) Stop() clock.Milli { return clock.Milli(set.raw.StopMs) }
+// ShutdownTimeout returns the maximum duration of a planned shutdown.
+func (set *Settings) ShutdownTimeout() clock.Milli { return clock.Milli(set.raw.StopMs) }
 
 // Capacity returns the capacity of the instance in cores; zero counts as 1.
 func (set *Settings) Capacity() float64 { return set.raw.CapacityCores }
 
-// Memory returns the memory limit of the process in bytes, or zero for no limit.
-func (set *Settings) Memory() int64 { return set.raw.MemoryMB << 20 }
+// MemoryLimit returns the memory limit of the process in bytes, or zero for no limit.
+func (set *Settings) MemoryLimit() int64 { return set.raw.MemoryMB << 20 }
 
 // LogLevel returns the minimum level of log lines.
 func (set *Settings) LogLevel() string { return set.raw.LogLevel }
@@ -194,7 +194,7 @@
 }
 
 // Read reads and validates settings from a file; see [Parse].
-func Read(path string) (*Settings, *place.Faults, error) {
+func Read(path string) (*Settings, *tomlx.Faults, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, err
@@ -205,25 +205,25 @@
 
 // Parse decodes and validates settings. They are nil if and only if the list
 // contains an error.
-func Parse(text []byte) (*Settings, *place.Faults) {
+func Parse(text []byte) (*Settings, *tomlx.Faults) {
 	set := &Settings{raw: raw{
 		KeepMs: int64(defaultEntryTTL), FreshMs: int64(defaultMaxLogAge), LogRetentionMs: int64(defaultRetention),
 		MaxInFlight: defaultMaxInFlight, MaxConnections: defaultMaxConnections, LogLevel: "info",
 		Dialect: DialectOwn, TokensForMs: int64(defaultTokenMaxViewAge), RetryShare: defaultRetryShare,
 		RetryReserve: defaultRetryReserve, RetryWindowMs: int64(defaultRetryWindow), StopMs: int64(defaultShutdownTimeout),
 	}}
-	fts := place.Decode(text, &set.raw)
-	if fts.Failed() {
+	fts := tomlx.Decode(text, &set.raw)
+	if fts.HasErrors() {
 		return nil, fts
 	}
 	set.check(fts)
-	if fts.Failed() {
+	if fts.HasErrors() {
 		return nil, fts
 	}
 	return set, fts
 }
 
-func (set *Settings) check(fts *place.Faults) {
+func (set *Settings) check(fts *tomlx.Faults) {
 	checkAddr(fts, "caller_addr", set.raw.CallerAddr, true)
 	isPlatform := set.raw.Dialect == DialectPlatform
 	if !isPlatform && set.raw.Dialect != DialectOwn {
@@ -266,7 +266,7 @@
 	}
 }
 
-func (set *Settings) checkRetries(fts *place.Faults) {
+func (set *Settings) checkRetries(fts *tomlx.Faults) {
 	if set.raw.RetryShare < 0 || set.raw.RetryShare > maxRetryShare {
 		fts.Add("retry_share", "%g is not in 0 to 1", set.raw.RetryShare)
 	}
@@ -284,7 +284,7 @@
 	checkRange(fts, "stop_ms", set.raw.StopMs, clock.Second, clock.Hour)
 }
 
-func (set *Settings) checkKeys(fts *place.Faults) {
+func (set *Settings) checkKeys(fts *tomlx.Faults) {
 	key, err := hex.DecodeString(set.raw.ResumeKeyHex)
 	if err != nil || len(key) < minResumeKeyBytes {
 		fts.Add("resume_key_hex", "at least %d bytes in hexadecimal are needed, the same on all instances", minResumeKeyBytes)
@@ -305,7 +305,7 @@
 	}
 }
 
-func checkAddr(fts *place.Faults, path, addr string, required bool) {
+func checkAddr(fts *tomlx.Faults, path, addr string, required bool) {
 	if addr == "" && !required {
 		return
 	}
@@ -315,13 +315,13 @@
 	}
 }
 
-func checkRange(fts *place.Faults, path string, ms int64, minMs, maxMs clock.Milli) {
+func checkRange(fts *tomlx.Faults, path string, ms int64, minMs, maxMs clock.Milli) {
 	if clock.Milli(ms) < minMs || clock.Milli(ms) > maxMs {
 		fts.Add(path, "%d ms is not in %d to %d", ms, minMs, maxMs)
 	}
 }
 
-func checkPositive(fts *place.Faults, path string, val int) {
+func checkPositive(fts *tomlx.Faults, path string, val int) {
 	if val <= 0 {
 		fts.Add(path, "%d is not above 0", val)
 	}
--- a/internal/contr/claims.go
+++ b/internal/contr/claims.go
@@ -36,7 +36,7 @@
 type claimsCtl struct {
 	ctl     *Control
 	ldg     claim.Ledger
-	desk    claim.Desk
+	desk    claim.Tickets
 	app     *feed.Appender
 	logAsOf clock.Milli
 	waiting map[string][]*asking
@@ -79,7 +79,7 @@
 }
 
 func (cct *claimsCtl) tail(ctx context.Context) {
-	feed.Tail(ctx, cct.ctl.feed(), feed.Follower{
+	feed.Tail(ctx, cct.ctl.feed(), feed.Consumer{
 		Do:     cct.ctl.Do,
 		Stream: platf.StreamClaims,
 		Next:   cct.ldg.Next,
@@ -90,8 +90,8 @@
 				cct.judgeAll(chg.Key, now)
 			}
 		},
-		Restart: func(start int64) { cct.ldg.Restart(start, cct.ctl.set.Clock.Now()) },
-		Caught:  func(asOf clock.Milli) { cct.logAsOf = max(cct.logAsOf, asOf) },
+		Restart:  func(start int64) { cct.ldg.Restart(start, cct.ctl.set.Clock.Now()) },
+		CaughtUp: func(asOf clock.Milli) { cct.logAsOf = max(cct.logAsOf, asOf) },
 	})
 }
 
@@ -102,12 +102,12 @@
 	if _, ok := cct.abandoned[chg.Attempt]; !ok || chg.State.Phase() != claim.Held || chg.State.Attempt() != chg.Attempt {
 		return
 	}
-	cct.ctl.set.Meter.Event(meter.EventLateRelease)
+	cct.ctl.set.Meter.CountEvent(meter.EventLateRelease)
 	cct.release(chg.Key, chg.Attempt, now)
 }
 
 func (cct *claimsCtl) step(now clock.Milli) {
-	cct.ctl.set.Meter.Set(meter.GaugeKeys, float64(cct.ldg.Len()))
+	cct.ctl.set.Meter.SetGauge(meter.GaugeKeys, float64(cct.ldg.Len()))
 	for key := range cct.waiting {
 		cct.judgeAll(key, now)
 	}
@@ -138,7 +138,7 @@
 // judge moves one waiting request on by what the ledger says now.
 func (cct *claimsCtl) judge(akg *asking, now clock.Milli) {
 	st := cct.find(akg.ask.Key, akg.ask.Boot)
-	ask := claim.Ask{
+	ask := claim.Query{
 		Attempt: akg.ask.Attempt, Digest: akg.ask.Digest, Expires: akg.ask.Expires,
 		HolderLive: cct.isLive(st.Holder(), now),
 	}
@@ -175,13 +175,13 @@
 		cct.holdTicket(akg, now)
 		return
 	}
-	if !cct.ldg.Covers(now) || now-cct.logAsOf > logSilence {
+	if !cct.ldg.IsComplete(now) || now-cct.logAsOf > logSilence {
 		cct.finish(akg, Claimed{Move: claim.Refuse, Result: outcm.Refuse(outcm.LogUnavailable, outageRetry, "the log can't be read, so nobody knows whether the key ran")})
 		return
 	}
 	akg.appended = true
 	ent := cct.entry(akg.ask)
-	apg := feed.Record{Body: ent.Encode(), Until: min(akg.ask.Expires, now+clock.Minute), Drop: akg.over.Load}
+	apg := feed.Record{Body: ent.Encode(), Expires: min(akg.ask.Expires, now+clock.Minute), Cancelled: akg.over.Load}
 	if !cct.app.Add(apg) {
 		cct.finish(akg, Claimed{Move: claim.Refuse, Result: outcm.Refuse(outcm.QueueFull, outageRetry, "too many records wait for the log")})
 	}
@@ -223,7 +223,7 @@
 
 func (cct *claimsCtl) bootIsLive(boot string) bool {
 	for _, mbr := range cct.ctl.members.list.All() {
-		if mbr.Who().Boot() == boot {
+		if mbr.ID().Boot() == boot {
 			return true
 		}
 	}
@@ -269,7 +269,7 @@
 // dispatched.
 func (cct *claimsCtl) release(key, attempt string, now clock.Milli) {
 	ent := claim.Entry{Kind: claim.KindRelease, Key: key, Attempt: attempt}
-	cct.app.Add(feed.Record{Body: ent.Encode(), Until: now + settleLife})
+	cct.app.Add(feed.Record{Body: ent.Encode(), Expires: now + settleLife})
 }
 
 // giveUp is called when a request's time ran out before its claim was read
@@ -373,10 +373,10 @@
 		// The claim goes into the log with its settlement, once the log is
 		// back, so that others can answer for the ticket when we are gone.
 		cct.desk.Settle(ent)
-		cct.app.Add(feed.Record{Body: cct.entry(ask).Encode(), Until: now + settleLife})
+		cct.app.Add(feed.Record{Body: cct.entry(ask).Encode(), Expires: now + settleLife})
 		defer cct.judgeAll(ask.Key, now)
 	}
-	cct.app.Add(feed.Record{Body: ent.Encode(), Until: now + settleLife})
+	cct.app.Add(feed.Record{Body: ent.Encode(), Expires: now + settleLife})
 }
 
 func (cct *claimsCtl) keep(attempt, answer string) {
--- a/internal/contr/control.go
+++ b/internal/contr/control.go
@@ -63,7 +63,7 @@
 
 // View is what traffic sees of the control state. It is never changed.
 type View struct {
-	docs    map[string]oplog.Held
+	docs    map[string]oplog.DocVersion
 	members []member.Member
 	applied int64
 	ready   bool
@@ -73,13 +73,13 @@
 }
 
 // Doc gives a service's document in force.
-func (vw *View) Doc(service string) (oplog.Held, bool) {
+func (vw *View) Doc(service string) (oplog.DocVersion, bool) {
 	hld, ok := vw.docs[service]
 	return hld, ok
 }
 
 // Docs gives all documents in force.
-func (vw *View) Docs() map[string]oplog.Held { return vw.docs }
+func (vw *View) Docs() map[string]oplog.DocVersion { return vw.docs }
 
 // Members gives the instances that are not dead.
 func (vw *View) Members() []member.Member { return vw.members }
@@ -102,7 +102,7 @@
 
 // New returns a control thread that has not started.
 func New(set Setup) *Control {
-	ctl := &Control{set: set, loop: loop.New(set.Clock, func() { set.Meter.Event(meter.EventDropped) })}
+	ctl := &Control{set: set, loop: loop.New(set.Clock, func() { set.Meter.CountEvent(meter.EventDropped) })}
 	now := set.Clock.Now()
 	ctl.startedAt = now
 	ctl.members.open(ctl, now)
@@ -158,7 +158,7 @@
 	ctl.endpts.step(now)
 	ctl.claims.step(now)
 	ctl.leases.step(now)
-	ctl.set.Meter.Set(meter.GaugeEventQueue, float64(ctl.loop.QueueLen()))
+	ctl.set.Meter.SetGauge(meter.GaugeEventQueue, float64(ctl.loop.QueueLen()))
 }
 
 // Do runs an event on the control thread and waits for it. It gives false if the
@@ -197,7 +197,7 @@
 // Flush waits until what was to be appended is in the log, or the context ends.
 func (ctl *Control) Flush(ctx context.Context) {
 	for !ctl.claims.app.Empty() || !ctl.docs.app.Empty() {
-		if !feed.Pause(ctx, tickEvery) {
+		if !feed.Sleep(ctx, tickEvery) {
 			return
 		}
 	}
@@ -221,9 +221,9 @@
 	}
 	ctl.docs.changed, ctl.members.changed = false, false
 	ctl.view.Store(vw)
-	ctl.set.Meter.Set(meter.GaugeApplied, float64(vw.applied))
-	ctl.set.Meter.Set(meter.GaugeMembers, float64(len(vw.members)))
-	ctl.set.Meter.Set(meter.GaugeReady, gauge(ready))
+	ctl.set.Meter.SetGauge(meter.GaugeApplied, float64(vw.applied))
+	ctl.set.Meter.SetGauge(meter.GaugeMembers, float64(len(vw.members)))
+	ctl.set.Meter.SetGauge(meter.GaugeReady, gauge(ready))
 }
 
 func gauge(yes bool) float64 {
--- a/internal/contr/docs.go
+++ b/internal/contr/docs.go
@@ -61,7 +61,7 @@
 }
 
 func (dct *docsCtl) tail(ctx context.Context) {
-	feed.Tail(ctx, dct.ctl.feed(), feed.Follower{
+	feed.Tail(ctx, dct.ctl.feed(), feed.Consumer{
 		Do:     dct.ctl.Do,
 		Stream: platf.StreamDocs,
 		Next:   dct.reg.Next,
@@ -75,7 +75,7 @@
 			}
 		},
 		Restart: dct.reg.Restart,
-		Caught: func(asOf clock.Milli) {
+		CaughtUp: func(asOf clock.Milli) {
 			if !dct.reg.Ready() {
 				dct.endRead(asOf)
 				return
@@ -95,7 +95,7 @@
 }
 
 func (dct *docsCtl) step(now clock.Milli) {
-	dct.ctl.set.Meter.Set(meter.GaugeLogAge, float64(now-dct.logAsOf))
+	dct.ctl.set.Meter.SetGauge(meter.GaugeLogAge, float64(now-dct.logAsOf))
 	dct.askPeers(now)
 	dct.takeSnapshot(now)
 	dct.wantState(now)
@@ -113,13 +113,13 @@
 	if dct.reg.Ready() || unread || now-max(dct.askedLog, dct.stuckSince) < resetAfter && dct.askedLog > 0 {
 		return
 	}
-	ent := oplog.Entry{Kind: oplog.KindWanted}
-	if asked := dct.reg.Asked(); asked > 0 && dct.askedLog > 0 {
+	ent := oplog.Entry{Kind: oplog.KindStateRequest}
+	if asked := dct.reg.PendingStateRequest(); asked > 0 && dct.askedLog > 0 {
 		ent = oplog.Entry{Kind: oplog.KindReset, AsOf: asked}
 		dct.ctl.set.Log.Warn().Msg("nobody has the documents and the log has forgotten them; starting from nothing")
 	}
 	dct.askedLog = now
-	dct.app.Add(feed.Record{Body: ent.Encode(), Until: now + wantLife})
+	dct.app.Add(feed.Record{Body: ent.Encode(), Expires: now + wantLife})
 }
 
 // freshUntil gives the instant up to which the documents may be taken to be in
@@ -153,7 +153,7 @@
 // vouchedSince gives the instant since which most of the instances have been in
 // touch, zero if they are not or if one of them has newer documents.
 func (dct *docsCtl) vouchedSince(now clock.Milli) clock.Milli {
-	since, ok := dct.ctl.members.list.MostHeard(now)
+	since, ok := dct.ctl.members.list.MajoritySeen(now)
 	if !ok || dct.isBehind() {
 		return 0
 	}
@@ -169,7 +169,7 @@
 	var best member.Member
 	found := false
 	for _, mbr := range dct.ctl.members.list.All() {
-		if mbr.Who() != dct.ctl.set.Self && (!found || mbr.Applied() > best.Applied()) {
+		if mbr.ID() != dct.ctl.set.Self && (!found || mbr.Applied() > best.Applied()) {
 			best, found = mbr, true
 		}
 	}
@@ -190,8 +190,8 @@
 	}
 	var addrs []string
 	for _, mbr := range dct.ctl.members.list.All() {
-		if mbr.Who() != dct.ctl.set.Self && mbr.Applied() >= ahead.Applied() && len(addrs) < statePeers {
-			addrs = append(addrs, mbr.Who().Addr())
+		if mbr.ID() != dct.ctl.set.Self && mbr.Applied() >= ahead.Applied() && len(addrs) < statePeers {
+			addrs = append(addrs, mbr.ID().Addr())
 		}
 	}
 	if len(addrs) == 0 {
@@ -216,7 +216,7 @@
 		}
 		if dct.reg.Load(best) {
 			dct.changed = true
-			dct.ctl.set.Meter.Event(meter.EventStateTaken)
+			dct.ctl.set.Meter.CountEvent(meter.EventStateTaken)
 		}
 		dct.known = dct.reg.Ready()
 	})
@@ -252,7 +252,7 @@
 	if !dct.known || now-dct.logAsOf > clock.Second*2 {
 		return
 	}
-	if dct.reg.IsWanted() && now >= dct.answered {
+	if dct.reg.StateRequested() && now >= dct.answered {
 		dct.answered = now + wantLife
 		dct.appendAgain(now, now+1)
 		return
@@ -271,7 +271,7 @@
 func (dct *docsCtl) appendAgain(now, olderThan clock.Milli) int {
 	ents := dct.reg.Snapshot(olderThan)
 	for _, ent := range ents {
-		dct.app.Add(feed.Record{Body: ent.Encode(), Until: now + snapshotLife})
+		dct.app.Add(feed.Record{Body: ent.Encode(), Expires: now + snapshotLife})
 	}
 	if len(ents) > 0 {
 		dct.ctl.set.Log.Info().Int("records", len(ents)).Msg("appended documents again")
@@ -281,7 +281,7 @@
 
 // offer appends an offer and goes on until the deadline.
 func (dct *docsCtl) offer(ent oplog.Entry, until clock.Milli) bool {
-	return dct.app.Add(feed.Record{Body: json.RawMessage(ent.Encode()), Until: until})
+	return dct.app.Add(feed.Record{Body: json.RawMessage(ent.Encode()), Expires: until})
 }
 
 // behind lists the instances that may still go by documents older than an
@@ -290,5 +290,5 @@
 // others refuses new work after the freshness bound, so that one not heard for
 // longer is out of force whatever it holds.
 func (dct *docsCtl) behind(offset int64, now clock.Milli) []ident.Incarnation {
-	return dct.ctl.members.list.Behind(offset, dct.ctl.set.Fresh+member.Period, now)
+	return dct.ctl.members.list.Lagging(offset, dct.ctl.set.Fresh+member.Period, now)
 }
--- a/internal/contr/endpts.go
+++ b/internal/contr/endpts.go
@@ -86,7 +86,7 @@
 		leaving := left || inst.State == wire.StateLeaving
 		pools[inst.Pool] = append(pools[inst.Pool], route.Endpoint{ID: inst.ID, Addr: inst.Addr, Zone: inst.Zone, Leaving: leaving})
 	}
-	for _, who := range ect.ctl.members.list.Dead() {
+	for _, who := range ect.ctl.members.list.Unconfirmed() {
 		if !listed[lineID(string(who))] {
 			ect.ctl.members.list.Delist(who)
 		}
@@ -101,11 +101,11 @@
 // meet probes an instance that stands in the list and is not known to live.
 func (ect *endptsCtl) meet(inst wire.Instance) {
 	for _, mbr := range ect.ctl.members.list.All() {
-		if lineID(string(mbr.Who())) == inst.ID {
+		if lineID(string(mbr.ID())) == inst.ID {
 			return
 		}
 	}
-	for _, who := range ect.ctl.members.list.Dead() {
+	for _, who := range ect.ctl.members.list.Unconfirmed() {
 		if lineID(string(who)) == inst.ID {
 			ect.ctl.members.group.Probe(inst.Addr, who)
 			return
@@ -178,7 +178,7 @@
 func (ect *endptsCtl) mine() []wire.Instance {
 	var own []wire.Instance
 	for _, inst := range ect.list {
-		if inst.Pool != wire.PoolEntry && ect.ctl.members.list.HomeIn(inst.Zone, inst.ID) == ect.ctl.set.Self {
+		if inst.Pool != wire.PoolEntry && ect.ctl.members.list.OwnerIn(inst.Zone, inst.ID) == ect.ctl.set.Self {
 			own = append(own, inst)
 		}
 	}
--- a/internal/contr/fresh_test.go
+++ b/internal/contr/fresh_test.go
@@ -27,7 +27,7 @@
 	other := ident.Incarnation("b:1#1")
 	for range 200 {
 		now := clk.Clock().Now()
-		ctl.members.list.Learn([]member.News{{Who: other, Seq: 1, Beat: uint64(now / clock.Second)}}, now)
+		ctl.members.list.Merge([]member.Update{{ID: other, Seq: 1, Beat: uint64(now / clock.Second)}}, now)
 		ctl.publish(now)
 		clk.Advance(clock.FromDuration(tickEvery))
 		ready, why := ctl.View().Ready(clk.Clock().Now())
--- a/internal/contr/leases.go
+++ b/internal/contr/leases.go
@@ -22,7 +22,7 @@
 	// leaseOrders is the one lease there is: who orders endpoints about.
 	leaseOrders = "orders"
 	orderEvery  = time.Second
-	// orderWait bounds an order's way. It stays below lease.Flight, within
+	// orderWait bounds an order's way. It stays below lease.MaxOrderTime, within
 	// which a successor waits.
 	orderWait = 2 * time.Second
 	// acquireStep spreads the instances' tries for a free lease by rank.
@@ -33,7 +33,7 @@
 // sees to it that endpoints have the models that the documents name.
 type leasesCtl struct {
 	ctl    *Control
-	book   lease.Book
+	book   lease.Table
 	app    *feed.Appender
 	grant  lease.Grant
 	sentID string
@@ -44,13 +44,13 @@
 }
 
 func (lct *leasesCtl) tail(ctx context.Context) {
-	feed.Tail(ctx, lct.ctl.feed(), feed.Follower{
-		Do:      lct.ctl.Do,
-		Stream:  platf.StreamLeases,
-		Next:    lct.book.Next,
-		Apply:   func(recs []oplog.Record, _ clock.Milli) { lct.book.Apply(recs); lct.noteGrant() },
-		Restart: lct.book.Restart,
-		Caught:  func(clock.Milli) {},
+	feed.Tail(ctx, lct.ctl.feed(), feed.Consumer{
+		Do:       lct.ctl.Do,
+		Stream:   platf.StreamLeases,
+		Next:     lct.book.Next,
+		Apply:    func(recs []oplog.Record, _ clock.Milli) { lct.book.Apply(recs); lct.noteGrant() },
+		Restart:  lct.book.Restart,
+		CaughtUp: func(clock.Milli) {},
 	})
 }
 
@@ -83,12 +83,12 @@
 
 // acquire appends for the lease when it is free, or renews it.
 func (lct *leasesCtl) acquire(now clock.Milli) {
-	if now-lct.sentAt < lease.Renew {
+	if now-lct.sentAt < lease.RenewInterval {
 		return
 	}
 	ten, ok := lct.book.Find(leaseOrders)
 	mine := ok && ten.Holder() == lct.ctl.set.Self && now < ten.Until()
-	if !mine && !lct.book.Open(leaseOrders, now) {
+	if !mine && !lct.book.Available(leaseOrders, now) {
 		lct.freeAt = 0
 		return
 	}
@@ -98,7 +98,7 @@
 	id := ident.NewID()
 	lct.sentID, lct.sentAt = id, now
 	ent := lease.Entry{Kind: lease.KindAcquire, Name: leaseOrders, Holder: lct.ctl.set.Self, ID: id}
-	lct.app.Add(feed.Record{Body: ent.Encode(), Until: now + lease.Renew})
+	lct.app.Add(feed.Record{Body: ent.Encode(), Expires: now + lease.RenewInterval})
 }
 
 // turn lets the instances try for a free lease one after another.
@@ -163,9 +163,9 @@
 
 func (lct *leasesCtl) send(ctx context.Context, cli *engin.Client, wnt want, grt lease.Grant) {
 	end := cli.Order(ctx, wnt.addr, wire.Order{Fence: grt.Fence(), Model: wnt.model})
-	lct.ctl.set.Meter.Event(meter.EventOrderSent)
+	lct.ctl.set.Meter.CountEvent(meter.EventOrderSent)
 	if end == ending.Refused {
-		lct.ctl.set.Meter.Event(meter.EventOrderRefused)
+		lct.ctl.set.Meter.CountEvent(meter.EventOrderRefused)
 	}
 	lct.ctl.set.Log.Info().Str("endpoint", wnt.id).Str("model", wnt.model).Int64("fence", grt.Fence()).
 		Str("ended", end.String()).Msg("order sent")
--- a/internal/contr/publish.go
+++ b/internal/contr/publish.go
@@ -74,7 +74,7 @@
 		if found && dec.Verdict() != oplog.Undecided {
 			return dec, true
 		}
-		if !feed.Pause(ctx, publishPoll) {
+		if !feed.Sleep(ctx, publishPoll) {
 			return oplog.Decision{}, false
 		}
 	}
@@ -91,7 +91,7 @@
 		if len(late) == 0 {
 			return true, nil
 		}
-		if ctl.set.Clock.Now() >= until || !feed.Pause(ctx, publishPoll) {
+		if ctl.set.Clock.Now() >= until || !feed.Sleep(ctx, publishPoll) {
 			names := make([]string, len(late))
 			for i, who := range late {
 				names[i] = string(who)
@@ -134,9 +134,9 @@
 		Members: []wire.StatusMember{}, Services: []wire.StatusService{}, Endpoints: []wire.StatusEndpoint{},
 		Leases: []wire.StatusLease{}, Refusals: ctl.set.Meter.Refusals(),
 	}
-	st.Ready, st.Why = vw.Ready(ctl.set.Clock.Now())
+	st.Ready, st.NotReadyReason = vw.Ready(ctl.set.Clock.Now())
 	if ctl.Stopping() {
-		st.Ready, st.Why = false, outcm.Stopping.String()
+		st.Ready, st.NotReadyReason = false, outcm.Stopping.String()
 	}
 	if told, ok := loop.Get(ctx, ctl.loop, func(now clock.Milli) wire.Status { return ctl.fill(st, now) }); ok {
 		st = told
@@ -154,11 +154,11 @@
 	st.LogAgeMs = now - ctl.docs.logAsOf
 	st.Keys = ctl.claims.ldg.Len()
 	for name, ten := range ctl.leases.book.All() {
-		st.Leases = append(st.Leases, wire.LeaseOf(name, ten))
+		st.Leases = append(st.Leases, wire.NewStatusLease(name, ten))
 	}
 	for _, mbr := range ctl.members.list.All() {
 		st.Members = append(st.Members, wire.StatusMember{
-			Instance: string(mbr.Who()), Zone: mbr.Zone(), Status: mbr.Status().String(), Applied: mbr.Applied(), Load: mbr.Load(),
+			Instance: string(mbr.ID()), Zone: mbr.Zone(), Status: mbr.Status().String(), Applied: mbr.Applied(), Load: mbr.Load(),
 		})
 	}
 	return st
--- a/internal/contr/status.go
+++ b/internal/contr/status.go
@@ -46,7 +46,7 @@
 	var cands []route.Entry
 	for _, mbr := range ctl.View().Members() {
 		if mbr.Status() == member.Alive {
-			cands = append(cands, route.Entry{Addr: mbr.Caller(), Zone: mbr.Zone(), Boot: mbr.Who().Boot(), Load: mbr.Load()})
+			cands = append(cands, route.Entry{Addr: mbr.Caller(), Zone: mbr.Zone(), Boot: mbr.ID().Boot(), Load: mbr.Load()})
 		}
 	}
 	list := []wire.Entry{}
@@ -83,8 +83,8 @@
 func (mct *membersCtl) keepDemands() {
 	table := map[ident.Incarnation]map[string]float64{}
 	for _, mbr := range mct.list.All() {
-		if mbr.Who() != mct.ctl.set.Self {
-			table[mbr.Who()] = mct.demand[mbr.Who()]
+		if mbr.ID() != mct.ctl.set.Self {
+			table[mbr.ID()] = mct.demand[mbr.ID()]
 		}
 	}
 	for who := range mct.demand {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -57,7 +57,7 @@
 func Run(out io.Writer) error {
 	ctx, cancel := context.WithTimeout(context.Background(), runFor)
 	defer cancel()
-	zlog.To(zerolog.Nop())
+	zlog.RedirectLibraries(zerolog.Nop())
 	wld := &world{out: out, cancel: cancel}
 	defer wld.close()
 	if err := wld.start(ctx); err != nil {
@@ -198,7 +198,7 @@
 		if ctx.Err() != nil || ans.Reason != outcm.NoEndpoint.String() {
 			return fmt.Errorf("the path does not open: %s, %s: %s", ans.Outcome, ans.Reason, ans.Detail)
 		}
-		caller.Wait(ctx, ans)
+		caller.WaitRetryAfter(ctx, ans)
 	}
 }
 
--- a/internal/early/early.go
+++ b/internal/early/early.go
@@ -31,5 +31,5 @@
 	signal.Notify(signals.Reload, syscall.SIGHUP)
 }
 
-// Taken returns the signals of the process.
-func Taken() Signals { return signals }
+// Registered returns the signals of the process.
+func Registered() Signals { return signals }
--- a/internal/engin/engin.go
+++ b/internal/engin/engin.go
@@ -36,7 +36,7 @@
 }
 
 // New returns a client.
-func New() *Client { return &Client{svc: platf.Service("endpoint")} }
+func New() *Client { return &Client{svc: platf.NewService("endpoint")} }
 
 // Report is what an endpoint said of itself along with an answer.
 type Report struct {
@@ -57,26 +57,26 @@
 }
 
 // Run runs a stage once at the endpoint at addr.
-func (cli *Client) Run(ctx context.Context, addr string, run wire.Run) (wire.Ran, Report, ending.Ending) {
+func (cli *Client) Run(ctx context.Context, addr string, run wire.Run) (wire.RunResult, Report, ending.Ending) {
 	res, end := cli.post(ctx, addr, "/v1/run", run)
 	if res == nil {
-		return wire.Ran{}, Report{}, end
+		return wire.RunResult{}, Report{}, end
 	}
 	defer func() { _ = res.Body.Close() }()
 	rep := readReport(res)
 	if end != ending.Answered {
-		return wire.Ran{}, rep, end
+		return wire.RunResult{}, rep, end
 	}
-	var ran wire.Ran
+	var ran wire.RunResult
 	text, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
 	if err != nil || json.Unmarshal(text, &ran) != nil {
-		return wire.Ran{}, rep, ending.Broken(ctx)
+		return wire.RunResult{}, rep, ending.Broken(ctx)
 	}
 	// A late answer of an abandoned attempt, or one meant for another caller,
 	// must never be matched to this request: a conflict check would answer
 	// somebody else's booking.
 	if ran.Attempt != run.Attempt {
-		return wire.Ran{}, rep, ending.Foreign
+		return wire.RunResult{}, rep, ending.Foreign
 	}
 	return ran, rep, ending.Answered
 }
@@ -180,7 +180,7 @@
 	switch {
 	case res.StatusCode == http.StatusOK:
 		return ending.Answered
-	case res.Header.Get(wire.HeaderRan) == wire.RanNo:
+	case res.Header.Get(wire.HeaderExecuted) == wire.ExecutedNo:
 		return ending.Refused
 	}
 	return ending.Errored
--- a/internal/engin/twice_test.go
+++ b/internal/engin/twice_test.go
@@ -35,7 +35,7 @@
 		if json.NewDecoder(req.Body).Decode(&run) != nil {
 			return
 		}
-		body, _ := json.Marshal(wire.Ran{Attempt: run.Attempt, Output: run.Input})
+		body, _ := json.Marshal(wire.RunResult{Attempt: run.Attempt, Output: run.Input})
 		fresh := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		if _, err := io.WriteString(conn, stale+fresh); err != nil {
 			return
@@ -48,7 +48,7 @@
 // when the next request comes over the same connection. Each caller gets its own
 // answer or is told that none came, and never the one before.
 func TestEndpointAnswersTwice(t *testing.T) {
-	zlog.To(zerolog.Nop())
+	zlog.RedirectLibraries(zerolog.Nop())
 	gom := gomega.NewWithT(t)
 	lsn, err := net.Listen("tcp", "127.0.0.1:0")
 	gom.Expect(err).NotTo(gomega.HaveOccurred())
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -31,12 +31,12 @@
 // and names nobody: it may be the one that is cut off.
 func (nod *Node) entries(wrt http.ResponseWriter, req *http.Request) {
 	if ready, why := nod.ctl.View().Ready(nod.clk.Now()); !ready {
-		wire.WriteJSON(wrt, http.StatusServiceUnavailable, wire.Fail{Error: why})
+		wire.WriteJSON(wrt, http.StatusServiceUnavailable, wire.ErrorBody{Error: why})
 		return
 	}
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	list := nod.ctl.Entries(req.URL.Query().Get("zone"), rng)
-	wire.WriteJSON(wrt, http.StatusOK, wire.Entries{Entries: list, KeepMs: nod.set.Keep()})
+	wire.WriteJSON(wrt, http.StatusOK, wire.Entries{Entries: list, KeepMs: nod.set.EntryTTL()})
 }
 
 // submit takes a caller's request through the chain.
@@ -48,7 +48,7 @@
 	}
 	if err := wire.ReadJSON(req.Body, filter.MaxBody, &cl.Submit); err != nil {
 		res := outcm.New(outcm.NotRun, outcm.BadRequest, err.Error())
-		nod.mtr.Answered("", res, 0)
+		nod.mtr.CountRequest("", res, 0)
 		nod.write(wrt, cl, res)
 		return
 	}
--- a/internal/entry/docs_test.go
+++ b/internal/entry/docs_test.go
@@ -109,7 +109,7 @@
 		expect(pub.InForce).To(isTrue())
 		wld.plt.SetFaults(stand.Faults{Outage: true})
 		for _, nod := range wld.nodes {
-			until(8*time.Second, func() bool { return nod.ctl.Status(wld.ctx).LogAgeMs > nod.set.Fresh() })
+			until(8*time.Second, func() bool { return nod.ctl.Status(wld.ctx).LogAgeMs > nod.set.MaxLogAge() })
 		}
 		nod := wld.addNode()
 		until(10*time.Second, nod.isReady)
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -96,7 +96,7 @@
 			return Error.Wrap(err)
 		}
 		nod.link.OnRefused = func(err error) {
-			nod.mtr.Event(meter.EventPeerRefused)
+			nod.mtr.CountEvent(meter.EventPeerRefused)
 			nod.log.Warn().Err(err).Msg("a peer was refused")
 		}
 		addr = nod.link.Addr()
@@ -107,7 +107,7 @@
 	nod.rnr = stage.New(nod.clk, nod.set.Zone(), nod.mtr, func(pool, id string) { nod.ctl.Left(pool, id) })
 	nod.ctl = contr.New(contr.Setup{
 		Self: ident.NewIncarnation(addr), Zone: nod.set.Zone(), CallerAddr: nod.calls.Addr().String(),
-		Peers: nod.set.Peers(), Fresh: nod.set.Fresh(), LogRetention: nod.set.LogRetention(), Clock: nod.clk,
+		Peers: nod.set.Peers(), Fresh: nod.set.MaxLogAge(), LogRetention: nod.set.LogRetention(), Clock: nod.clk,
 		Platform: platf.New(nod.set.Platform()), Runner: nod.rnr, Meter: nod.mtr, Log: nod.log, Link: nod.link,
 	})
 	nod.chn = filter.New(filter.Setup{
@@ -161,7 +161,7 @@
 // answers to "which address", serves until kept answers have run out, finishes
 // what is under way, and ends. It returns when all is done or the context ends.
 func (nod *Node) Stop(ctx context.Context) {
-	keep := nod.set.Keep()
+	keep := nod.set.EntryTTL()
 	nod.log.Info().Int64("keep_ms", int64(keep)).Msg("leaving; serving until kept addresses have run out")
 	nod.ctl.Leave(ctx)
 	select {
--- a/internal/entry/ops.go
+++ b/internal/entry/ops.go
@@ -33,7 +33,7 @@
 	service := pathvar.Vars(req)["service"]
 	hld, ok := nod.ctl.View().Doc(service)
 	if !ok {
-		wire.WriteJSON(wrt, http.StatusNotFound, wire.Fail{Error: "no document names a service " + service})
+		wire.WriteJSON(wrt, http.StatusNotFound, wire.ErrorBody{Error: "no document names a service " + service})
 		return
 	}
 	wire.WriteJSON(wrt, http.StatusOK, wire.Document{Service: service, Revision: hld.Revision(), Text: hld.Text()})
@@ -46,11 +46,11 @@
 func (nod *Node) publish(wrt http.ResponseWriter, req *http.Request) {
 	var pub wire.Publish
 	if err := wire.ReadJSON(req.Body, 2*svcdoc.MaxBytes, &pub); err != nil {
-		wire.WriteJSON(wrt, http.StatusBadRequest, wire.Fail{Error: err.Error()})
+		wire.WriteJSON(wrt, http.StatusBadRequest, wire.ErrorBody{Error: err.Error()})
 		return
 	}
 	if pub.ID == "" || pub.Base < 0 {
-		wire.WriteJSON(wrt, http.StatusBadRequest, wire.Fail{Error: "id: an offer needs an id; base: a revision is not below 0"})
+		wire.WriteJSON(wrt, http.StatusBadRequest, wire.ErrorBody{Error: "id: an offer needs an id; base: a revision is not below 0"})
 		return
 	}
 	wire.WriteJSON(wrt, http.StatusOK, nod.ctl.Publish(req.Context(), pathvar.Vars(req)["service"], pub))
@@ -63,10 +63,10 @@
 // health says that the process works: its control thread takes events.
 func (nod *Node) health(wrt http.ResponseWriter, req *http.Request) {
 	if !nod.ctl.Alive(req.Context()) {
-		wire.WriteJSON(wrt, http.StatusServiceUnavailable, wire.Fail{Error: "the control thread does not answer"})
+		wire.WriteJSON(wrt, http.StatusServiceUnavailable, wire.ErrorBody{Error: "the control thread does not answer"})
 		return
 	}
-	wire.WriteJSON(wrt, http.StatusOK, wire.Fail{})
+	wire.WriteJSON(wrt, http.StatusOK, wire.ErrorBody{})
 }
 
 // ready says whether new work is taken.
@@ -76,10 +76,10 @@
 		ready, why = false, outcm.Stopping.String()
 	}
 	if !ready {
-		wire.WriteJSON(wrt, http.StatusServiceUnavailable, wire.Fail{Error: why})
+		wire.WriteJSON(wrt, http.StatusServiceUnavailable, wire.ErrorBody{Error: why})
 		return
 	}
-	wire.WriteJSON(wrt, http.StatusOK, wire.Fail{})
+	wire.WriteJSON(wrt, http.StatusOK, wire.ErrorBody{})
 }
 
 // quiet gives a log event that is written only so often for one reason: the
--- a/internal/entry/world_test.go
+++ b/internal/entry/world_test.go
@@ -33,7 +33,7 @@
 
 // TestInstances is the entry of all tests with instances in this process.
 func TestInstances(t *testing.T) {
-	zlog.To(zerolog.Nop())
+	zlog.RedirectLibraries(zerolog.Nop())
 	gomega.RegisterFailHandler(ginkgo.Fail)
 	suite, reporter := ginkgo.GinkgoConfiguration()
 	suite.RandomSeed = 1
--- a/internal/feed/append.go
+++ b/internal/feed/append.go
@@ -51,11 +51,11 @@
 // Record is a record to be appended to the log.
 type Record struct {
 	Body json.RawMessage
-	// Until is the instant at which the record expires and is dropped.
-	Until clock.Milli
-	// Drop reports whether the record must no longer be appended. It is called on
+	// Expires is the instant at which the record expires and is dropped.
+	Expires clock.Milli
+	// Cancelled reports whether the record must no longer be appended. It is called on
 	// the appender's goroutine and may be nil.
-	Drop func() bool
+	Cancelled func() bool
 }
 
 // NewAppender returns an appender to a stream. Its records are appended by Run.
@@ -96,8 +96,8 @@
 			continue
 		}
 		app.requeue(batch)
-		app.set.Meter.Event(meter.EventAppendRepeat)
-		if !Pause(ctx, backoff) {
+		app.set.Meter.CountEvent(meter.EventAppendRepeat)
+		if !Sleep(ctx, backoff) {
 			return
 		}
 		backoff = min(2*backoff, maxAppendBackoff)
@@ -110,8 +110,8 @@
 	var batch, rest []Record
 	for _, rec := range app.pending {
 		switch {
-		case now >= rec.Until || rec.Drop != nil && rec.Drop():
-			app.set.Meter.Event(meter.EventAppendDrop)
+		case now >= rec.Expires || rec.Cancelled != nil && rec.Cancelled():
+			app.set.Meter.CountEvent(meter.EventAppendDrop)
 		case len(batch) < maxBatchRecords:
 			batch = append(batch, rec)
 		default:
@@ -145,13 +145,13 @@
 	defer cancel()
 	_, err := app.set.Platform.Append(ctx, app.stream, bodies)
 	if err != nil {
-		app.set.Meter.Event(meter.EventLogError)
+		app.set.Meter.CountEvent(meter.EventLogError)
 	}
 	return err == nil
 }
 
-// Pause sleeps for the span. It returns false if the context ends before.
-func Pause(ctx context.Context, span time.Duration) bool {
+// Sleep sleeps for the span. It returns false if the context ends before.
+func Sleep(ctx context.Context, span time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
--- a/internal/feed/append_test.go
+++ b/internal/feed/append_test.go
@@ -31,11 +31,11 @@
 
 	plt.SetFaults(stand.Faults{HoldAppends: true})
 	until := clock.Clock{}.Now() + clock.Minute
-	app.Add(Record{Body: json.RawMessage(`"ahead"`), Until: until})
+	app.Add(Record{Body: json.RawMessage(`"ahead"`), Expires: until})
 	gom.Eventually(func() int { return len(plt.Held(platf.StreamClaims)) }).Should(gomega.Equal(1))
 	var over atomic.Bool
-	app.Add(Record{Body: json.RawMessage(`"given up"`), Until: until, Drop: over.Load})
-	app.Add(Record{Body: json.RawMessage(`"behind"`), Until: until})
+	app.Add(Record{Body: json.RawMessage(`"given up"`), Expires: until, Cancelled: over.Load})
+	app.Add(Record{Body: json.RawMessage(`"behind"`), Expires: until})
 	over.Store(true)
 	plt.SetFaults(stand.Faults{})
 
@@ -61,7 +61,7 @@
 	app := NewAppender(Setup{Platform: platf.New(srv.URL), Meter: meter.New()}, platf.StreamClaims)
 	go app.Run(t.Context())
 	plt.SetFaults(stand.Faults{LoseReplies: 1})
-	app.Add(Record{Body: json.RawMessage(`"one"`), Until: clock.Clock{}.Now() + clock.Minute})
+	app.Add(Record{Body: json.RawMessage(`"one"`), Expires: clock.Clock{}.Now() + clock.Minute})
 	gom.Eventually(app.Empty, "10s").Should(gomega.BeTrue())
 	gom.Expect(plt.Records(platf.StreamClaims)).To(gomega.HaveLen(2), "once for the lost reply, once again")
 }
--- a/internal/feed/tail.go
+++ b/internal/feed/tail.go
@@ -17,8 +17,8 @@
 	readBackoff = 150 * time.Millisecond
 )
 
-// Follower is a state machine that consumes a stream.
-type Follower struct {
+// Consumer is a state machine that consumes a stream.
+type Consumer struct {
 	Stream string
 	// Do runs an event on the control loop that owns the state machine and waits for
 	// its end. It returns false if the context ends before.
@@ -30,9 +30,9 @@
 	// Restart makes the state machine continue at start, the log's first offset, after
 	// the records from Next on were trimmed.
 	Restart func(start int64)
-	// Caught is called when the state machine has caught up: it has applied all records
+	// CaughtUp is called when the state machine has caught up: it has applied all records
 	// that the stream had at asOf.
-	Caught func(asOf clock.Milli)
+	CaughtUp func(asOf clock.Milli)
 }
 
 // pollWait returns how long a read may wait for records. It is zero until a read
@@ -46,26 +46,26 @@
 
 // Tail reads a stream and passes its records to a state machine until the context
 // ends.
-func Tail(ctx context.Context, set Setup, flw Follower) {
+func Tail(ctx context.Context, set Setup, csm Consumer) {
 	var asOf clock.Milli
 	for {
 		var from int64
-		if !flw.Do(ctx, func(clock.Milli) { from = flw.Next() }) {
+		if !csm.Do(ctx, func(clock.Milli) { from = csm.Next() }) {
 			return
 		}
 		// The time is taken before the read is sent, so that a delay between the
 		// log's answer and its receipt does not make a stale answer look fresh.
 		sentAt := set.Clock.Now()
 		rctx, cancel := context.WithTimeout(ctx, readTimeout)
-		bat, err := set.Platform.Read(rctx, flw.Stream, from, pollWait(asOf))
+		bat, err := set.Platform.Read(rctx, csm.Stream, from, pollWait(asOf))
 		cancel()
-		if err != nil && !handleReadError(ctx, set, flw, err) {
+		if err != nil && !handleReadError(ctx, set, csm, err) {
 			return
 		}
 		if err == nil {
 			asOf = sentAt
 		}
-		if err == nil && !flw.Do(ctx, func(now clock.Milli) { deliver(set, flw, from, bat, sentAt, now) }) {
+		if err == nil && !csm.Do(ctx, func(now clock.Milli) { deliver(set, csm, from, bat, sentAt, now) }) {
 			return
 		}
 	}
@@ -73,28 +73,28 @@
 
 // handleReadError handles a failed read. If the log was trimmed, it restarts the state
 // machine; otherwise it pauses. It returns false if the context ended.
-func handleReadError(ctx context.Context, set Setup, flw Follower, err error) bool {
+func handleReadError(ctx context.Context, set Setup, csm Consumer, err error) bool {
 	if start, ok := platf.IsTrimmed(err); ok {
-		set.Meter.Event(meter.EventLogTrimmed)
-		set.Log.Warn().Str("stream", flw.Stream).Int64("start", start).Msg("log was trimmed beyond the read offset; continuing at its first offset")
-		return flw.Do(ctx, func(clock.Milli) { flw.Restart(start) })
+		set.Meter.CountEvent(meter.EventLogTrimmed)
+		set.Log.Warn().Str("stream", csm.Stream).Int64("start", start).Msg("log was trimmed beyond the read offset; continuing at its first offset")
+		return csm.Do(ctx, func(clock.Milli) { csm.Restart(start) })
 	}
 	if ctx.Err() != nil {
 		return false
 	}
-	set.Meter.Event(meter.EventLogError)
-	return Pause(ctx, readBackoff+time.Duration(rand.Int64N(int64(readBackoff))))
+	set.Meter.CountEvent(meter.EventLogError)
+	return Sleep(ctx, readBackoff+time.Duration(rand.Int64N(int64(readBackoff))))
 }
 
-func deliver(set Setup, flw Follower, from int64, bat oplog.Batch, sentAt, now clock.Milli) {
+func deliver(set Setup, csm Consumer, from int64, bat oplog.Batch, sentAt, now clock.Milli) {
 	if bat.End < from {
 		// The answer comes from a lagging replica of the log. Applied records stay
 		// applied, and the answer does not show that they are all.
-		set.Meter.Event(meter.EventLogBack)
+		set.Meter.CountEvent(meter.EventLogStale)
 		return
 	}
-	flw.Apply(bat.Records, now)
-	if flw.Next() >= bat.End {
-		flw.Caught(sentAt)
+	csm.Apply(bat.Records, now)
+	if csm.Next() >= bat.End {
+		csm.CaughtUp(sentAt)
 	}
 }
--- a/internal/filter/doc.go
+++ b/internal/filter/doc.go
@@ -13,7 +13,7 @@
 //
 // A filter either gives a result itself, and then nothing behind it sees the
 // request, or calls the next one. Whatever a filter refuses before the claim
-// has looked a key up is sealed (see outcm.Result.Seal): such an instance can't
+// has looked a key up is sealed (see outcm.Result.QualifyRefusal): such an instance can't
 // know whether the request ran elsewhere.
 //
 // The document comes before the identity because it says who may call, and the
--- a/internal/filter/filter.go
+++ b/internal/filter/filter.go
@@ -105,9 +105,9 @@
 	cl.requestID = ident.NewID()
 	res := chn.head(ctx, cl)
 	if cl.Submit.Key != "" {
-		res = res.Seal(cl.Submit.First, cl.looked)
+		res = res.QualifyRefusal(cl.Submit.First, cl.looked)
 	}
-	chn.mtr.Answered(cl.DocName(), res, chn.clk.Since(cl.arrived))
+	chn.mtr.CountRequest(cl.DocName(), res, chn.clk.Since(cl.arrived))
 	return res
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -103,7 +103,7 @@
 		if which(i) {
 			delete(flt.byWho, ins.who)
 			flt.insts[i] = flt.start(i)
-			flt.insts[i].list.Learn(goesOn.list.Everybody(), flt.now)
+			flt.insts[i].list.Merge(goesOn.list.AllUpdates(), flt.now)
 			flt.byWho[flt.insts[i].who] = flt.insts[i]
 		}
 	}
@@ -119,7 +119,7 @@
 	}
 	for _, ins := range flt.insts {
 		for _, oth := range flt.insts {
-			ins.list.Learn([]member.News{{Who: oth.who, Zone: "dc1", Seq: 1}}, flt.now)
+			ins.list.Merge([]member.Update{{ID: oth.who, Zone: "dc1", Seq: 1}}, flt.now)
 		}
 	}
 }
@@ -187,18 +187,18 @@
 	oth := flt.byWho[who]
 	if oth == nil && slices.ContainsFunc(flt.insts, func(next *Instance) bool { return next.who.Addr() == who.Addr() }) {
 		// The process that is there now answers in its own name.
-		ins.list.Drop(who, flt.now)
+		ins.list.MarkReplaced(who, flt.now)
 		return
 	}
 	if !flt.Reaches(ins, oth) {
 		return
 	}
-	oth.list.Learn(ins.list.Gossip(oth.who), flt.now)
+	oth.list.Merge(ins.list.Updates(oth.who), flt.now)
 	answer, digest := oth.spread.Delta(ins.spread.Digest(), flt.now), oth.spread.Digest()
 	if !flt.Reaches(oth, ins) {
 		return
 	}
-	ins.list.Learn(oth.list.Gossip(ins.who), flt.now)
+	ins.list.Merge(oth.list.Updates(ins.who), flt.now)
 	ins.list.Ack(oth.who, flt.now)
 	ins.spread.Receive(answer, ins.list.IsMesh(), flt.now)
 	if more := ins.spread.Delta(digest, flt.now); len(more) > 0 && flt.Reaches(ins, oth) {
--- a/internal/front/final.go
+++ b/internal/front/final.go
@@ -261,7 +261,7 @@
 	case end.Sent() && !run.repeatPaid && !fr.pools.TakeRetry(cl.pool.Name(), fr.set.Control.View()):
 		return res, false
 	}
-	fr.set.Meter.Retried(end.Cause())
+	fr.set.Meter.CountRetry(end.Cause())
 	return res, true
 }
 
@@ -397,7 +397,7 @@
 	fr.set.Log.Info().Str("request", cl.ask.ID).Str("endpoint", string(tgt.ID)).Str("after", run.lastEvent).Msg("stream cut off by endpoint")
 	res, again := run.bodyFailed(ctx, tgt, fr.set.Clock.Since(began))
 	if again {
-		fr.set.Meter.Retried(retry.Resumed)
+		fr.set.Meter.CountRetry(retry.Resumed)
 	}
 	return res, again
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -139,7 +139,7 @@
 	if cl.route != nil {
 		name = cl.route.Name()
 	}
-	fr.set.Meter.Answered(name, res, took)
+	fr.set.Meter.CountRequest(name, res, took)
 	evt := fr.set.Log.Info()
 	evt.Str("request", cl.ask.ID).Str("route", name).Str("workspace", cl.wsp).Int("rank", cl.rank).Str("outcome", res.Outcome().String()).
 		Str("reason", res.Reason().String()).Str("detail", res.Detail()).Int64("took_ms", int64(took)).
--- a/internal/front/stages.go
+++ b/internal/front/stages.go
@@ -223,7 +223,7 @@
 	for _, pre := range lost {
 		fr.releaseResults(cl, pre)
 	}
-	fr.set.Meter.Retried(retry.InputLost)
+	fr.set.Meter.CountRetry(retry.InputLost)
 	fr.set.Log.Info().Str("request", cl.ask.ID).Int("stage", stg).Ints("again", lost).
 		Int64("left_ms", int64(cl.deadline-fr.set.Clock.Now())).Msg("inputs lost, recomputing stages")
 	return true
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -49,7 +49,7 @@
 
 // Suspect probes a member that did not answer a request.
 func (grp *Group) Suspect(who ident.Incarnation, now clock.Milli) {
-	if act, ok := grp.List.Doubt(who, now); ok {
+	if act, ok := grp.List.RequestProbe(who, now); ok {
 		grp.execute(act)
 	}
 }
@@ -69,7 +69,7 @@
 
 // Message returns a message with the gossip for its receiver.
 func (grp *Group) Message(kind peer.Kind, to ident.Incarnation) peer.Message {
-	msg := peer.Message{Kind: kind, From: grp.Self, To: to, News: grp.List.Gossip(to)}
+	msg := peer.Message{Kind: kind, From: grp.Self, To: to, News: grp.List.Updates(to)}
 	if grp.Attach != nil {
 		grp.Attach(&msg)
 	}
@@ -89,7 +89,7 @@
 		grp.Receive(ans, sent, now)
 		if ans.From != to {
 			// Another instance has this address now.
-			grp.List.Drop(to, now)
+			grp.List.MarkReplaced(to, now)
 			return
 		}
 		grp.List.Ack(to, now)
@@ -117,7 +117,7 @@
 		grp.Offer(func(now clock.Milli) {
 			grp.Receive(ans, sent, now)
 			if who != "" && ans.From != who {
-				grp.List.Drop(who, now)
+				grp.List.MarkReplaced(who, now)
 			}
 		})
 	})
@@ -125,7 +125,7 @@
 
 // Receive applies the contents of a message.
 func (grp *Group) Receive(msg peer.Message, sent, now clock.Milli) {
-	grp.List.Learn(msg.News, now)
+	grp.List.Merge(msg.News, now)
 	if grp.OnMessage != nil {
 		grp.OnMessage(msg, sent, now)
 	}
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -45,25 +45,25 @@
 
 // Kinds of events, counted by kind alone.
 const (
-	EventDropped      = "control_event_dropped"
-	EventLogBack      = "log_answered_older_end"
-	EventLogTrimmed   = "log_offset_trimmed"
-	EventLogError     = "log_error"
-	EventAppendRepeat = "append_repeated"
-	EventAppendDrop   = "append_dropped"
-	EventPeerRefused  = "peer_refused"
-	EventStateTaken   = "state_taken_from_peer"
-	EventOrderSent    = "order_sent"
-	EventOrderRefused = "order_refused"
-	EventLateRelease  = "claim_released_late"
-	EventForeign      = "foreign_answer_dropped"
-	EventEntrySkipped = "endpoint_entry_skipped"
-	EventFactEvicted  = "fact_evicted"
+	EventDropped       = "control_event_dropped"
+	EventLogStale      = "log_answered_older_end"
+	EventLogTrimmed    = "log_offset_trimmed"
+	EventLogError      = "log_error"
+	EventAppendRepeat  = "append_repeated"
+	EventAppendDrop    = "append_dropped"
+	EventPeerRefused   = "peer_refused"
+	EventStateTaken    = "state_taken_from_peer"
+	EventOrderSent     = "order_sent"
+	EventOrderRefused  = "order_refused"
+	EventLateRelease   = "claim_released_late"
+	EventForeignAnswer = "foreign_answer_dropped"
+	EventEntrySkipped  = "endpoint_entry_skipped"
+	EventFactEvicted   = "fact_evicted"
 )
 
 var events = []string{
-	EventDropped, EventLogBack, EventLogTrimmed, EventLogError, EventAppendRepeat, EventAppendDrop, EventPeerRefused,
-	EventStateTaken, EventOrderSent, EventOrderRefused, EventLateRelease, EventForeign, EventEntrySkipped, EventFactEvicted,
+	EventDropped, EventLogStale, EventLogTrimmed, EventLogError, EventAppendRepeat, EventAppendDrop, EventPeerRefused,
+	EventStateTaken, EventOrderSent, EventOrderRefused, EventLateRelease, EventForeignAnswer, EventEntrySkipped, EventFactEvicted,
 }
 
 // Names of the gauges.
@@ -126,8 +126,8 @@
 	return promhttp.HandlerFor(mtr.reg, promhttp.HandlerOpts{})
 }
 
-// Answered counts a finished request. service is empty if no document names it.
-func (mtr *Meter) Answered(service string, res outcm.Result, took clock.Milli) {
+// CountRequest counts a finished request. service is empty if no document names it.
+func (mtr *Meter) CountRequest(service string, res outcm.Result, took clock.Milli) {
 	mtr.outcomes.WithLabelValues(service, res.Outcome().String()).Inc()
 	mtr.requestTime.WithLabelValues(service).Observe(took.Seconds())
 	if res.Outcome() == outcm.Done {
@@ -151,23 +151,23 @@
 	return all
 }
 
-// Retried counts a retry.
-func (mtr *Meter) Retried(cause retry.Cause) { mtr.retries.WithLabelValues(cause.String()).Inc() }
+// CountRetry counts a retry.
+func (mtr *Meter) CountRetry(cause retry.Cause) { mtr.retries.WithLabelValues(cause.String()).Inc() }
 
-// Staged records a successful attempt of a stage.
-func (mtr *Meter) Staged(service, stage string, took, engine clock.Milli) {
+// RecordStage records a successful attempt of a stage.
+func (mtr *Meter) RecordStage(service, stage string, took, engine clock.Milli) {
 	mtr.stageTime.WithLabelValues(service, stage).Observe(took.Seconds())
 	mtr.engineMs.WithLabelValues(service, stage).Add(float64(engine))
 }
 
-// Wasted adds endpoint time that was spent on an unused result.
-func (mtr *Meter) Wasted(service, stage string, took clock.Milli) {
+// AddWasted adds endpoint time that was spent on an unused result.
+func (mtr *Meter) AddWasted(service, stage string, took clock.Milli) {
 	mtr.engineMs.WithLabelValues(service, stage).Add(float64(took))
 	mtr.wastedMs.WithLabelValues(service, stage).Add(float64(took))
 }
 
-// Event counts an event by its kind.
-func (mtr *Meter) Event(kind string) { mtr.events.WithLabelValues(kind).Inc() }
+// CountEvent counts an event by its kind.
+func (mtr *Meter) CountEvent(kind string) { mtr.events.WithLabelValues(kind).Inc() }
 
-// Set sets a gauge by name.
-func (mtr *Meter) Set(name string, val float64) { mtr.gauges.WithLabelValues(name).Set(val) }
+// SetGauge sets a gauge by name.
+func (mtr *Meter) SetGauge(name string, val float64) { mtr.gauges.WithLabelValues(name).Set(val) }
--- a/internal/node/explain_test.go
+++ b/internal/node/explain_test.go
@@ -11,7 +11,7 @@
 	"github.com/onsi/gomega"
 	"github.com/rs/zerolog"
 
-	"amaranthvalve/internal/story"
+	"amaranthvalve/internal/reqlog"
 	"amaranthvalve/platform/fake"
 )
 
@@ -31,12 +31,12 @@
 func (lbf *logBuffer) explain(id string) string {
 	lbf.mtx.Lock()
 	defer lbf.mtx.Unlock()
-	lines, err := story.Lines(bytes.NewReader(lbf.buf.Bytes()), id)
+	lines, err := reqlog.Read(bytes.NewReader(lbf.buf.Bytes()), id)
 	expect(err).NotTo(anything())
-	story.Sort(lines)
+	reqlog.Sort(lines)
 	var out strings.Builder
 	for _, line := range lines {
-		out.WriteString(line.Text(lines[0].At()) + "\n")
+		out.WriteString(line.Format(lines[0].At()) + "\n")
 	}
 	return out.String()
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -82,7 +82,7 @@
 // served before Start.
 func New(set *conf.Settings, dia *proto.Dialect, log zerolog.Logger) (*Node, error) {
 	nod := &Node{set: set, log: log, mtr: meter.New(), ended: make(chan struct{})}
-	nod.keep.Store(int64(set.Keep()))
+	nod.keep.Store(int64(set.EntryTTL()))
 	calls, err := net.Listen("tcp", set.CallerAddr())
 	if err != nil {
 		return nil, Error.Wrap(err)
@@ -127,7 +127,7 @@
 		return nod.homes.HandleOrder(ctx, msg)
 	}
 	nod.link.OnRefused = func(err error) {
-		nod.mtr.Event(meter.EventPeerRefused)
+		nod.mtr.CountEvent(meter.EventPeerRefused)
 		nod.log.Warn().Err(err).Msg("a peer was refused")
 	}
 	return nil
@@ -145,7 +145,7 @@
 		nod.ctl.RecordReply(addr, dia.Reply(res), nod.clk.Now()-clock.FromDuration(ago))
 	}
 	kept := relay.PooledClient(keptIdle, heard)
-	share, most, window := nod.set.Retries()
+	share, most, window := nod.set.RetryBudget()
 	desk := batch.New(batch.Setup{
 		Dialect: dia, Client: kept, Clock: nod.clk, Meter: nod.mtr, Log: nod.log, Share: share, Reserve: most, Window: window,
 		OnMisdirected:   func(id ident.Process, why string) { nod.ctl.EndpointLeaving(id, why) },
@@ -157,8 +157,8 @@
 	nod.pools = pls
 	nod.ctl = state.New(state.Setup{
 		Self: inc, Zone: nod.set.Zone(), Caller: nod.set.CallerAddr(), Seeds: nod.set.Peers(), Capacity: nod.set.Capacity(),
-		Clock: nod.clk, Store: dia.Store(nod.set.Store(), relay.PooledClient(keptIdle, nil)), Meter: nod.mtr, Log: nod.log,
-		Dialect: dia, Link: nod.link, TokenMaxViewAge: nod.set.TokensFor(),
+		Clock: nod.clk, Store: dia.Store(nod.set.StoreAddr(), relay.PooledClient(keptIdle, nil)), Meter: nod.mtr, Log: nod.log,
+		Dialect: dia, Link: nod.link, TokenMaxViewAge: nod.set.TokenMaxViewAge(),
 		OnChange: func(vw *state.View) {
 			desk.Sync(vw.Plan(), vw.Endpoints(), vw.Rates())
 			pls.Sync(vw)
@@ -171,7 +171,7 @@
 	nod.front = front.New(front.Setup{
 		Control: nod.ctl, Dialect: dia, Relay: relay.New(dia, heard), Pools: pls, Coordinator: nod.homes, Clock: nod.clk,
 		Meter: nod.mtr, Log: nod.log,
-		TokensFor: clock.Milli(tokensShare * float64(nod.set.TokensFor())),
+		TokensFor: clock.Milli(tokensShare * float64(nod.set.TokenMaxViewAge())),
 	})
 }
 
@@ -227,13 +227,13 @@
 	return func(wrt http.ResponseWriter, _ *http.Request) {
 		vw := nod.ctl.View()
 		if !vw.Ready(nod.clk.Now()) {
-			wire.WriteJSON(wrt, http.StatusServiceUnavailable, wire.Fail{Error: "this instance is not ready"})
+			wire.WriteJSON(wrt, http.StatusServiceUnavailable, wire.ErrorBody{Error: "this instance is not ready"})
 			return
 		}
 		var addrs []string
 		named := map[string]bool{}
 		for _, mbr := range vw.Members() {
-			takes := mbr.Who() == nod.ctl.Self() || mbr.Status() == member.Alive && !mbr.Stale()
+			takes := mbr.ID() == nod.ctl.Self() || mbr.Status() == member.Alive && !mbr.Stale()
 			// A process that ended and the one after it may both be members for a moment.
 			if takes && !named[mbr.Caller()] {
 				named[mbr.Caller()] = true
@@ -260,14 +260,14 @@
 		go func() { _ = srv.Serve(nod.lsns[i]) }()
 	}
 	nod.log.Info().Str("zone", nod.set.Zone()).Str("callers", nod.set.CallerAddr()).
-		Str("store", nod.set.Store()).Strs("seeds", nod.set.Peers()).Msg("started")
+		Str("store", nod.set.StoreAddr()).Strs("seeds", nod.set.Peers()).Msg("started")
 }
 
 // Apply takes settings that may change while the instance runs: the seeds and how
 // long answers are kept. What names sockets holds until the next start.
 func (nod *Node) Apply(set *conf.Settings) {
-	before := nod.keep.Swap(int64(set.Keep()))
-	if int64(set.Keep()) < before {
+	before := nod.keep.Swap(int64(set.EntryTTL()))
+	if int64(set.EntryTTL()) < before {
 		until := int64(nod.clk.Now()) + keptTimes*before
 		nod.longer.Store(max(nod.longer.Load(), until))
 	}
@@ -280,9 +280,9 @@
 // still under way when its time is up is given up with a word to the callers.
 func (nod *Node) Stop(ctx context.Context) {
 	began := nod.clk.Now()
-	end := began + nod.set.Stop() - stopMargin
+	end := began + nod.set.ShutdownTimeout() - stopMargin
 	kept := max(keptTimes*clock.Milli(nod.keep.Load()), clock.Milli(nod.longer.Load())-began) + stopSettle
-	nod.log.Info().Int64("kept_ms", int64(kept)).Int64("stop_ms", int64(nod.set.Stop())).Int64("under_way", nod.front.InFlight()).Msg("leaving")
+	nod.log.Info().Int64("kept_ms", int64(kept)).Int64("stop_ms", int64(nod.set.ShutdownTimeout())).Int64("under_way", nod.front.InFlight()).Msg("leaving")
 	// The control thread may be busy; what comes meanwhile is bound by the stop's end too.
 	nod.front.BeginShutdown(end)
 	sctx, cancel := nod.withEnd(ctx, end)
--- a/internal/node/requests_test.go
+++ b/internal/node/requests_test.go
@@ -203,7 +203,7 @@
 		}
 		eventually(func() bool {
 			return !slices.ContainsFunc(wld.nodes[0].ctl.View().Endpoints(), func(ep proto.Endpoint) bool {
-				return ep.Pool == "bookings" && ep.ID.Born() == 0
+				return ep.Pool == "bookings" && ep.ID.StartedAt() == 0
 			})
 		}, soon).Should(gomega.BeTrue())
 		fault(wld.plain, fake.Hangs)
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -32,15 +32,15 @@
 	pln := vw.Plan()
 	switch {
 	case pln == nil:
-		st.Why, st.LogAgeMs = whyNoDocuments, 0
+		st.NotReadyReason, st.LogAgeMs = whyNoDocuments, 0
 	case vw.Leaving():
-		st.Why = whyLeaving
+		st.NotReadyReason = whyLeaving
 	case !st.Ready:
-		st.Why = whyOld
+		st.NotReadyReason = whyOld
 	}
 	for _, mbr := range vw.Members() {
 		st.Members = append(st.Members, wire.StatusMember{
-			Instance: string(mbr.Who()), Zone: mbr.Zone(), Status: mbr.Status().String(), Applied: mbr.Applied(), Load: mbr.Load(),
+			Instance: string(mbr.ID()), Zone: mbr.Zone(), Status: mbr.Status().String(), Applied: mbr.Applied(), Load: mbr.Load(),
 		})
 	}
 	for _, ep := range vw.Endpoints() {
@@ -54,10 +54,10 @@
 		st.Services = append(st.Services, wire.StatusService{Service: "all routes", Revision: pln.Version()})
 		for name, pol := range pln.Pools() {
 			if homes := vw.Coordinators(name); pol.Batch() != nil && len(homes) > 0 {
-				st.Gatherers = append(st.Gatherers, wire.StatusGatherer{Pool: name, Instance: string(homes[0])})
+				st.Coordinators = append(st.Coordinators, wire.StatusCoordinator{Pool: name, Instance: string(homes[0])})
 			}
 		}
 	}
-	slices.SortFunc(st.Gatherers, func(x, y wire.StatusGatherer) int { return cmp.Compare(x.Pool, y.Pool) })
+	slices.SortFunc(st.Coordinators, func(x, y wire.StatusCoordinator) int { return cmp.Compare(x.Pool, y.Pool) })
 	return st
 }
--- a/internal/node/world_test.go
+++ b/internal/node/world_test.go
@@ -27,7 +27,7 @@
 
 // TestRoutes is the entry of all tests with instances that serve routes.
 func TestRoutes(t *testing.T) {
-	zlog.To(zerolog.Nop())
+	zlog.RedirectLibraries(zerolog.Nop())
 	gomega.RegisterFailHandler(ginkgo.Fail)
 	suite, reporter := ginkgo.GinkgoConfiguration()
 	suite.RandomSeed = 1
--- a/internal/opers/opers.go
+++ b/internal/opers/opers.go
@@ -28,7 +28,7 @@
 }
 
 // New returns a client of the instance whose ops_addr is addr.
-func New(addr string) *Client { return &Client{addr: addr, svc: platf.Service("ops")} }
+func New(addr string) *Client { return &Client{addr: addr, svc: platf.NewService("ops")} }
 
 // Publish publishes a document of a service and returns the verdict on it.
 func (cli *Client) Publish(ctx context.Context, service string, pub wire.Publish) (wire.Published, error) {
@@ -86,7 +86,7 @@
 }
 
 func replyError(status int, text []byte) error {
-	var fail wire.Fail
+	var fail wire.ErrorBody
 	if json.Unmarshal(text, &fail) == nil && fail.Error != "" {
 		return fmt.Errorf("%s", fail.Error)
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -100,7 +100,7 @@
 	// actual one.
 	To     ident.Incarnation `cbor:"3,keyasint,omitempty"`
 	Target ident.Incarnation `cbor:"4,keyasint,omitempty"`
-	News   []member.News     `cbor:"5,keyasint,omitempty"`
+	News   []member.Update   `cbor:"5,keyasint,omitempty"`
 	// Leaving lists endpoints that were recently reported as leaving, as "pool/id".
 	Leaving []string `cbor:"6,keyasint,omitempty"`
 	// Demand is the sender's request rate per second by workspace.
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -274,10 +274,10 @@
 	ath := newAuthority(t)
 	one, two := openLink(t, ath, "10.20.1.11:7300#0123456789abcdef"), openLink(t, ath, "10.20.1.12:7300#0123456789abcdef")
 	rly := newUDPRelay(t, two.Addr())
-	news := make([]member.News, member.MaxNews)
+	news := make([]member.Update, member.MaxUpdates)
 	for i := range news {
-		news[i] = member.News{
-			Who: ident.Incarnation(fmt.Sprintf("10.20.1.%d:7300#0123456789abcdef", i)), Zone: "dalby",
+		news[i] = member.Update{
+			ID: ident.Incarnation(fmt.Sprintf("10.20.1.%d:7300#0123456789abcdef", i)), Zone: "dalby",
 			Caller: "10.20.1.11:7100", Seq: 3, Applied: 1_000_000, Beat: 100_000, Load: 20,
 		}
 	}
--- a/internal/platf/platf.go
+++ b/internal/platf/platf.go
@@ -62,14 +62,14 @@
 // New returns a client of the platform at the URL base, such as
 // "http://10.0.0.1:7000".
 func New(base string) *Client {
-	return &Client{base: base, svc: Service("platform")}
+	return &Client{base: base, svc: NewService("platform")}
 }
 
-// Service returns an httpc service that sends each request at most once and rejects
+// NewService returns an httpc service that sends each request at most once and rejects
 // none by itself. httpc's circuit breaker is disabled, because it would reject
 // requests by a rule that is neither visible nor counted. Redirects are not
 // followed, because 307 and 308 would send the body again.
-func Service(name string) httpc.Service {
+func NewService(name string) httpc.Service {
 	breaker.NoBreakerFor(name)
 	return httpc.NewServiceWithClient(name, &http.Client{
 		Transport: &http.Transport{
--- a/internal/pools/pools.go
+++ b/internal/pools/pools.go
@@ -77,7 +77,7 @@
 	// ids are the names of all endpoints.
 	ids []string
 	// calls are the calls in flight.
-	calls ident.Watch
+	calls ident.RestartWatch
 }
 
 // New returns an empty set of pools.
@@ -122,7 +122,7 @@
 func (pst *poolState) sync(list []proto.Endpoint, spc *plan.DraftEngine) {
 	pst.ids = pst.ids[:0]
 	for _, ep := range list {
-		pst.calls.Listed(ep.ID)
+		pst.calls.RunListed(ep.ID)
 		pst.ids = append(pst.ids, string(ep.ID))
 	}
 	if pst.engines != nil {
@@ -294,7 +294,7 @@
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
 	if pst := pls.byName[pool]; pst != nil {
-		return pst.calls.Watch(id, cancel)
+		return pst.calls.Add(id, cancel)
 	}
 	return func() {}
 }
--- a/internal/proc/measure_test.go
+++ b/internal/proc/measure_test.go
@@ -64,7 +64,7 @@
 	}
 	began := time.Now()
 	for _, stage := range [][2]string{{"encode", "encoders"}, {"retrieve", "retrievers"}, {"rerank", "rerankers"}} {
-		var ran wire.Ran
+		var ran wire.RunResult
 		wld.post(addrs[stage[1]], "/v1/run", wire.Run{Attempt: ident.NewID(), Stage: stage[0], Input: text}, &ran)
 		text = ran.Output
 	}
--- a/internal/proc/path_test.go
+++ b/internal/proc/path_test.go
@@ -23,7 +23,7 @@
 
 // TestProcesses is the entry of all tests with separate processes.
 func TestProcesses(t *testing.T) {
-	zlog.To(zerolog.Nop())
+	zlog.RedirectLibraries(zerolog.Nop())
 	gomega.RegisterFailHandler(ginkgo.Fail)
 	suite, reporter := ginkgo.GinkgoConfiguration()
 	suite.RandomSeed = 1
--- a/internal/story/story.go
+++ b/internal/reqlog/reqlog.go
@@ -1,6 +1,6 @@
-// Package story collects the log lines of one request from several instances, sorts
+// Package reqlog collects the log lines of one request from several instances, sorts
 // them by time and formats them for display.
-package story
+package reqlog
 
 import (
 	"bufio"
@@ -29,9 +29,9 @@
 // At returns the time stamp of the line.
 func (line Line) At() time.Time { return line.at }
 
-// Lines returns the lines of a log that belong to the request with this id. Text
+// Read returns the lines of a log that belong to the request with this id. Text
 // before the JSON of a line, as some log collectors add it, is ignored.
-func Lines(rdr io.Reader, id string) ([]Line, error) {
+func Read(rdr io.Reader, id string) ([]Line, error) {
 	var lines []Line
 	scn := bufio.NewScanner(rdr)
 	scn.Buffer(nil, maxLineBytes)
@@ -69,8 +69,8 @@
 // themselves, and level and request add nothing.
 var omittedFields = []string{"time", "level", "message", "request"}
 
-// Text formats the line for display, with the time elapsed since start.
-func (line Line) Text(start time.Time) string {
+// Format formats the line for display, with the time elapsed since start.
+func (line Line) Format(start time.Time) string {
 	var out strings.Builder
 	_, _ = fmt.Fprintf(&out, "%+d ms  %s:", line.at.Sub(start).Milliseconds(), line.fields["message"])
 	names := slices.Clone(leadingFields)
--- a/internal/serve/router.go
+++ b/internal/serve/router.go
@@ -39,9 +39,9 @@
 }
 
 func notFound(wrt http.ResponseWriter, req *http.Request) {
-	wire.WriteJSON(wrt, http.StatusNotFound, wire.Fail{Error: "unknown path: " + req.URL.Path})
+	wire.WriteJSON(wrt, http.StatusNotFound, wire.ErrorBody{Error: "unknown path: " + req.URL.Path})
 }
 
 func notAllowed(wrt http.ResponseWriter, req *http.Request) {
-	wire.WriteJSON(wrt, http.StatusMethodNotAllowed, wire.Fail{Error: req.Method + " is not allowed here"})
+	wire.WriteJSON(wrt, http.StatusMethodNotAllowed, wire.ErrorBody{Error: req.Method + " is not allowed here"})
 }
--- a/internal/shell/explain.go
+++ b/internal/shell/explain.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"os"
 
-	"amaranthvalve/internal/story"
+	"amaranthvalve/internal/reqlog"
 )
 
 type explainCmd struct {
@@ -14,9 +14,9 @@
 
 // Run is the command.
 func (cmd *explainCmd) Run(con *console) error {
-	var lines []story.Line
+	var lines []reqlog.Line
 	if len(cmd.Files) == 0 {
-		read, err := story.Lines(os.Stdin, cmd.ID)
+		read, err := reqlog.Read(os.Stdin, cmd.ID)
 		if err != nil {
 			return fmt.Errorf("standard input: %w", err)
 		}
@@ -32,20 +32,20 @@
 	if len(lines) == 0 {
 		return fmt.Errorf("no line tells of request %q", cmd.ID)
 	}
-	story.Sort(lines)
+	reqlog.Sort(lines)
 	for _, line := range lines {
-		con.printf("%s\n", line.Text(lines[0].At()))
+		con.printf("%s\n", line.Format(lines[0].At()))
 	}
 	return nil
 }
 
-func readLines(name, id string) ([]story.Line, error) {
+func readLines(name, id string) ([]reqlog.Line, error) {
 	file, err := os.Open(name)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = file.Close() }()
-	lines, err := story.Lines(file, id)
+	lines, err := reqlog.Read(file, id)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
--- a/internal/shell/node.go
+++ b/internal/shell/node.go
@@ -52,7 +52,7 @@
 		return runRouted(con, cmd.Config, set, platform.Dialect(), cmd.signals)
 	}
 	log := newLog(con.err, set.LogLevel())
-	zlog.To(log)
+	zlog.RedirectLibraries(log)
 	nod, err := entry.New(set, entry.FileKeys(set), log)
 	if err != nil {
 		return err
--- a/internal/shell/routed.go
+++ b/internal/shell/routed.go
@@ -32,8 +32,8 @@
 		lvl = zerolog.InfoLevel
 	}
 	log, _ := zlog.Open(con.out, lvl)
-	zlog.To(log)
-	if most := set.Memory(); most > 0 {
+	zlog.RedirectLibraries(log)
+	if most := set.MemoryLimit(); most > 0 {
 		debug.SetMemoryLimit(int64(memoryShare * float64(most)))
 	}
 	nod, err := node.New(set, dia, log)
@@ -49,7 +49,7 @@
 		select {
 		case sig := <-sgs.Stop:
 			log.Info().Str("signal", sig.String()).Msg("planned stop")
-			ctx, cancel := context.WithTimeout(context.Background(), set.Stop().Duration())
+			ctx, cancel := context.WithTimeout(context.Background(), set.ShutdownTimeout().Duration())
 			defer cancel()
 			nod.Stop(ctx)
 			return nil
--- a/internal/shell/run.go
+++ b/internal/shell/run.go
@@ -46,7 +46,7 @@
 // run parses arguments for a grammar and runs the command that they name.
 func run(name, about string, grammar any, args []string, out, err io.Writer) int {
 	con := &console{out: out, err: err}
-	zlog.To(zerolog.Nop())
+	zlog.RedirectLibraries(zerolog.Nop())
 	exited := -1
 	psr, bad := kong.New(grammar,
 		kong.Name(name), kong.Description(about), kong.Writers(out, err), kong.UsageOnError(),
--- a/internal/shell/script_test.go
+++ b/internal/shell/script_test.go
@@ -35,7 +35,7 @@
 // exit statuses, and a session with one instance. AMV_UPDATE=1 rewrites what
 // "cmp" compares with.
 func TestScripts(t *testing.T) {
-	zlog.To(zerolog.Nop())
+	zlog.RedirectLibraries(zerolog.Nop())
 	testscript.Run(t, testscript.Params{
 		Dir:                 "testdata",
 		UpdateScripts:       os.Getenv("AMV_UPDATE") != "",
--- a/internal/shell/status.go
+++ b/internal/shell/status.go
@@ -28,7 +28,7 @@
 func printStatus(con *console, st wire.Status) {
 	ready := "ready"
 	if !st.Ready {
-		ready = "not ready: " + st.Why
+		ready = "not ready: " + st.NotReadyReason
 	}
 	con.printf("instance %s in %s, %s\n", st.Instance, st.Zone, ready)
 	con.printf("applied offset %d, word of the log %d ms ago, keys remembered %d\n", st.Applied, st.LogAgeMs, st.Keys)
@@ -44,12 +44,12 @@
 	for _, ept := range st.Endpoints {
 		con.printf("%-16s %-20s %-22s %6d %6d %10.1f %s\n", ept.Pool, ept.ID, ept.Addr, ept.InFlight, ept.Limit, ept.Latency, ept.State)
 	}
-	printGatherers(con, st.Gatherers)
+	printGatherers(con, st.Coordinators)
 	printLeases(con, st.Leases)
 	printRefusals(con, st.Refusals)
 }
 
-func printGatherers(con *console, list []wire.StatusGatherer) {
+func printGatherers(con *console, list []wire.StatusCoordinator) {
 	if len(list) == 0 {
 		return
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -56,7 +56,7 @@
 // that the environment asks for (docs/SOAK.md). It guards against troubles, and planned
 // stops under answers of any length, that break a promise to callers.
 func TestSoak(t *testing.T) {
-	zlog.To(zerolog.Nop())
+	zlog.RedirectLibraries(zerolog.Nop())
 	program := build(t)
 	for _, ply := range plays(t) {
 		t.Run(fmt.Sprintf("seed-%d", ply.seed), func(t *testing.T) { soak(t, program, ply) })
--- a/internal/stage/attempt.go
+++ b/internal/stage/attempt.go
@@ -64,7 +64,7 @@
 }
 
 // once sends the stage to an endpoint, once.
-func (try *attempt) once(ctx context.Context, ep route.Endpoint) (wire.Ran, ending.Ending, clock.Milli) {
+func (try *attempt) once(ctx context.Context, ep route.Endpoint) (wire.RunResult, ending.Ending, clock.Milli) {
 	ctx, cancel := context.WithTimeout(ctx, try.allowance().Duration())
 	defer cancel()
 	try.tries++
@@ -112,10 +112,10 @@
 // again decides after a failed attempt whether there is another one.
 func (try *attempt) again(ctx context.Context, ep route.Endpoint, end ending.Ending, took clock.Milli) (outcm.Result, bool) {
 	if !end.RanNothing() {
-		try.rnr.mtr.Wasted(try.job.Doc.Name(), try.stg.Name(), took)
+		try.rnr.mtr.AddWasted(try.job.Doc.Name(), try.stg.Name(), took)
 	}
 	if end == ending.Foreign {
-		try.rnr.mtr.Event(meter.EventForeign)
+		try.rnr.mtr.CountEvent(meter.EventForeignAnswer)
 	}
 	res := try.resultOf(ctx, end)
 	if ctx.Err() != nil || !retry.Allowed(end.RanNothing(), try.stg.NonIdempotent()) {
@@ -137,7 +137,7 @@
 	if !try.pl.mayRetry(try.bounds) {
 		return outcm.New(res.Outcome(), outcm.RetryBudget, "the pool's retry budget is used up; the last attempt ended as "+end.String()), false
 	}
-	try.rnr.mtr.Retried(end.Cause())
+	try.rnr.mtr.CountRetry(end.Cause())
 	try.avoid = append(try.avoid, ep.ID)
 	return outcm.Result{}, true
 }
--- a/internal/stage/generate.go
+++ b/internal/stage/generate.go
@@ -68,7 +68,7 @@
 	if end != ending.Answered {
 		return wire.StageTime{}, false
 	}
-	try.rnr.mtr.Retried(retry.Resumed)
+	try.rnr.mtr.CountRetry(retry.Resumed)
 	try.job.count = len(try.text)
 	return wire.StageTime{Endpoint: plc.ID, EngineMs: last.EngineMs, Attempts: 1}, true
 }
@@ -93,7 +93,7 @@
 		return last, got, end
 	})
 	if end == ending.Cut && ctx.Err() == nil {
-		try.rnr.mtr.Retried(retry.Resumed)
+		try.rnr.mtr.CountRetry(retry.Resumed)
 		last, end = try.read(ctx, func(ctx context.Context, take func(wire.Token) error) (wire.End, engin.Report, ending.Ending) {
 			_, last, got, end := try.rnr.cli.Resume(ctx, ep.Addr, plc.Attempt, len(try.text), take)
 			if end == ending.Errored || end.RanNothing() {
--- a/internal/stage/job.go
+++ b/internal/stage/job.go
@@ -149,7 +149,7 @@
 	st.Name = job.Doc.Stage(i).Name()
 	st.Ms = rnr.clk.Since(began)
 	if res.Outcome() == outcm.Pending {
-		rnr.mtr.Staged(job.Doc.Name(), st.Name, st.Ms, st.EngineMs)
+		rnr.mtr.RecordStage(job.Doc.Name(), st.Name, st.Ms, st.EngineMs)
 	}
 	return staged{out: out, time: st, res: res}
 }
--- a/internal/stage/runner.go
+++ b/internal/stage/runner.go
@@ -70,8 +70,8 @@
 			inFlight += pl.gate.Pool().InFlight()
 			pl.mtx.Unlock()
 		}
-		rnr.mtr.Set(meter.GaugeQueue, float64(waiting))
-		rnr.mtr.Set(meter.GaugeInFlight, float64(inFlight))
+		rnr.mtr.SetGauge(meter.GaugeQueue, float64(waiting))
+		rnr.mtr.SetGauge(meter.GaugeInFlight, float64(inFlight))
 	}
 }
 
@@ -170,7 +170,7 @@
 	defer rnr.mtx.Unlock()
 	ned := rnr.need(doc.Name(), stg.Name())
 	now := rnr.clk.Now()
-	sum := how(&ned.whole, stg.Need(), now)
+	sum := how(&ned.whole, stg.Estimate(), now)
 	if stg.Kind() == svcdoc.Generate {
 		sum += how(&ned.gap, 0, now) * clock.Milli(max(tokens-1, 0)) / 1000
 	}
--- a/internal/stand/endpoint.go
+++ b/internal/stand/endpoint.go
@@ -100,8 +100,8 @@
 func (ept *Endpoint) run(wrt http.ResponseWriter, req *http.Request) {
 	var run wire.Run
 	if err := wire.ReadJSON(req.Body, 4<<20, &run); err != nil {
-		wrt.Header().Set(wire.HeaderRan, wire.RanNo)
-		wire.WriteJSON(wrt, http.StatusBadRequest, wire.Fail{Error: err.Error()})
+		wrt.Header().Set(wire.HeaderExecuted, wire.ExecutedNo)
+		wire.WriteJSON(wrt, http.StatusBadRequest, wire.ErrorBody{Error: err.Error()})
 		return
 	}
 	ept.count(1)
@@ -111,16 +111,16 @@
 	}
 	defer func() { <-ept.places }()
 	began := time.Now()
-	ept.note(Execution{Attempt: run.Attempt, RequestID: run.RequestID, Workspace: run.Workspace, Input: run.Takes()})
+	ept.note(Execution{Attempt: run.Attempt, RequestID: run.RequestID, Workspace: run.Workspace, Input: run.JoinInputs()})
 	wait(req.Context(), ept.stepMs)
 	ept.faults.cutReply()
 	if ept.faults.use(func(flt *Faults) *int { return &flt.WrongAttempt }) {
 		run.Attempt = "00000000000000000000000000000000"
 	}
 	ept.headers(wrt)
-	wire.WriteJSON(wrt, http.StatusOK, wire.Ran{
+	wire.WriteJSON(wrt, http.StatusOK, wire.RunResult{
 		Attempt:  run.Attempt,
-		Output:   fmt.Sprintf("%s(%s)", run.Stage, run.Takes()),
+		Output:   fmt.Sprintf("%s(%s)", run.Stage, run.JoinInputs()),
 		EngineMs: clock.FromDuration(time.Since(began)),
 	})
 }
@@ -179,7 +179,7 @@
 func (ept *Endpoint) order(wrt http.ResponseWriter, req *http.Request) {
 	var ord wire.Order
 	if err := wire.ReadJSON(req.Body, 1<<16, &ord); err != nil {
-		wire.WriteJSON(wrt, http.StatusBadRequest, wire.Fail{Error: err.Error()})
+		wire.WriteJSON(wrt, http.StatusBadRequest, wire.ErrorBody{Error: err.Error()})
 		return
 	}
 	ept.mtx.Lock()
@@ -191,7 +191,7 @@
 	}
 	ept.mtx.Unlock()
 	if old {
-		wire.WriteJSON(wrt, http.StatusConflict, wire.Fail{Error: "old fencing number"})
+		wire.WriteJSON(wrt, http.StatusConflict, wire.ErrorBody{Error: "old fencing number"})
 		return
 	}
 	ept.faults.cutReply()
--- a/internal/stand/engine.go
+++ b/internal/stand/engine.go
@@ -66,16 +66,16 @@
 func (ept *Endpoint) generate(wrt http.ResponseWriter, req *http.Request) {
 	var run wire.Run
 	if err := wire.ReadJSON(req.Body, 4<<20, &run); err != nil {
-		wire.WriteJSON(wrt, http.StatusBadRequest, wire.Fail{Error: err.Error()})
+		wire.WriteJSON(wrt, http.StatusBadRequest, wire.ErrorBody{Error: err.Error()})
 		return
 	}
 	gen, ok := ept.engine.start(run)
 	if !ok {
-		wrt.Header().Set(wire.HeaderRan, wire.RanNo)
-		wire.WriteJSON(wrt, http.StatusServiceUnavailable, wire.Fail{Error: "batch full"})
+		wrt.Header().Set(wire.HeaderExecuted, wire.ExecutedNo)
+		wire.WriteJSON(wrt, http.StatusServiceUnavailable, wire.ErrorBody{Error: "batch full"})
 		return
 	}
-	ept.note(Execution{Attempt: run.Attempt, RequestID: run.RequestID, Workspace: run.Workspace, Input: run.Takes(), Tokens: gen.want - run.From})
+	ept.note(Execution{Attempt: run.Attempt, RequestID: run.RequestID, Workspace: run.Workspace, Input: run.JoinInputs(), Tokens: gen.want - run.From})
 	ept.stream(wrt, req, gen, run.From)
 }
 
@@ -86,7 +86,7 @@
 	gen, ok := eng.streams[req.PathValue("attempt")]
 	eng.mtx.Unlock()
 	if !ok || from < gen.run.From {
-		wire.WriteJSON(wrt, http.StatusNotFound, wire.Fail{Error: "no such stream"})
+		wire.WriteJSON(wrt, http.StatusNotFound, wire.ErrorBody{Error: "no such stream"})
 		return
 	}
 	ept.stream(wrt, req, gen, from)
@@ -101,7 +101,7 @@
 	if ok {
 		gen.stop()
 	}
-	wire.WriteJSON(wrt, http.StatusOK, wire.Fail{})
+	wire.WriteJSON(wrt, http.StatusOK, wire.ErrorBody{})
 }
 
 // start begins a generation, which goes on when its reader is gone, so that it
@@ -122,7 +122,7 @@
 	eng.streams[run.Attempt] = gen
 	eng.running++
 	eng.active[run.Attempt] = gen
-	warm := eng.touch(Prefix(run.Takes()))
+	warm := eng.touch(Prefix(run.JoinInputs()))
 	go eng.work(ctx, gen, warm)
 	return gen, true
 }
@@ -236,7 +236,7 @@
 		if !gen.await(req.Context(), from) {
 			break
 		}
-		tok := wire.Token{Attempt: attempt, Index: from, Text: TokenAt(gen.run.Takes(), from)}
+		tok := wire.Token{Attempt: attempt, Index: from, Text: TokenAt(gen.run.JoinInputs(), from)}
 		if wire.WriteEvent(wrt, wire.EventToken, tok) != nil {
 			return
 		}
--- a/internal/stand/faults.go
+++ b/internal/stand/faults.go
@@ -120,7 +120,7 @@
 	}
 	var flt Faults
 	if err := wire.ReadJSON(req.Body, 1<<16, &flt); err != nil {
-		wire.WriteJSON(wrt, http.StatusBadRequest, wire.Fail{Error: err.Error()})
+		wire.WriteJSON(wrt, http.StatusBadRequest, wire.ErrorBody{Error: err.Error()})
 		return
 	}
 	fty.set(flt)
@@ -134,15 +134,15 @@
 		switch {
 		case fty.get().Outage:
 			wrt.Header().Set("Retry-After", "1")
-			wrt.Header().Set(wire.HeaderRan, wire.RanNo)
-			wire.WriteJSON(wrt, http.StatusServiceUnavailable, wire.Fail{Error: "outage"})
+			wrt.Header().Set(wire.HeaderExecuted, wire.ExecutedNo)
+			wire.WriteJSON(wrt, http.StatusServiceUnavailable, wire.ErrorBody{Error: "outage"})
 		case fty.use(func(flt *Faults) *int { return &flt.Cut }):
 			panic(http.ErrAbortHandler)
 		case fty.use(func(flt *Faults) *int { return &flt.Refuse }):
-			wrt.Header().Set(wire.HeaderRan, wire.RanNo)
-			wire.WriteJSON(wrt, http.StatusServiceUnavailable, wire.Fail{Error: "refused"})
+			wrt.Header().Set(wire.HeaderExecuted, wire.ExecutedNo)
+			wire.WriteJSON(wrt, http.StatusServiceUnavailable, wire.ErrorBody{Error: "refused"})
 		case fty.use(func(flt *Faults) *int { return &flt.Fail }):
-			wire.WriteJSON(wrt, http.StatusInternalServerError, wire.Fail{Error: "failed"})
+			wire.WriteJSON(wrt, http.StatusInternalServerError, wire.ErrorBody{Error: "failed"})
 		default:
 			next(wrt, req)
 		}
--- a/internal/stand/platform.go
+++ b/internal/stand/platform.go
@@ -127,12 +127,12 @@
 func (plt *Platform) append(wrt http.ResponseWriter, req *http.Request) {
 	var app wire.Append
 	if err := wire.ReadJSON(req.Body, 8<<20, &app); err != nil || len(app.Bodies) == 0 {
-		wire.WriteJSON(wrt, http.StatusBadRequest, wire.Fail{Error: "no bodies"})
+		wire.WriteJSON(wrt, http.StatusBadRequest, wire.ErrorBody{Error: "no bodies"})
 		return
 	}
 	if !plt.appends.AllowN(plt.clk.Now().Time(), 1) {
 		wrt.Header().Set("Retry-After", "1")
-		wire.WriteJSON(wrt, http.StatusTooManyRequests, wire.Fail{Error: "too many appends"})
+		wire.WriteJSON(wrt, http.StatusTooManyRequests, wire.ErrorBody{Error: "too many appends"})
 		return
 	}
 	plt.hold(req.PathValue("stream"), app.Bodies)
@@ -175,7 +175,7 @@
 func (plt *Platform) read(wrt http.ResponseWriter, req *http.Request) {
 	from, err := strconv.ParseInt(req.FormValue("from"), 10, 64)
 	if err != nil {
-		wire.WriteJSON(wrt, http.StatusBadRequest, wire.Fail{Error: "from: not a number"})
+		wire.WriteJSON(wrt, http.StatusBadRequest, wire.ErrorBody{Error: "from: not a number"})
 		return
 	}
 	wait, _ := strconv.ParseInt(req.FormValue("wait_ms"), 10, 64)
@@ -188,7 +188,7 @@
 		}
 		plt.faults.pause(req)
 		if plt.faults.get().Outage {
-			wire.WriteJSON(wrt, http.StatusServiceUnavailable, wire.Fail{Error: "outage"})
+			wire.WriteJSON(wrt, http.StatusServiceUnavailable, wire.ErrorBody{Error: "outage"})
 			return
 		}
 		bat, _ = plt.batch(req.PathValue("stream"), from)
@@ -226,7 +226,7 @@
 func (plt *Platform) trimNow(wrt http.ResponseWriter, req *http.Request) {
 	keep, _ := strconv.Atoi(req.FormValue("keep"))
 	plt.Trim(req.FormValue("stream"), keep)
-	wire.WriteJSON(wrt, http.StatusOK, wire.Fail{})
+	wire.WriteJSON(wrt, http.StatusOK, wire.ErrorBody{})
 }
 
 func (plt *Platform) list(wrt http.ResponseWriter, _ *http.Request) {
@@ -256,7 +256,7 @@
 func (plt *Platform) put(wrt http.ResponseWriter, req *http.Request) {
 	var inst wire.Instance
 	if err := wire.ReadJSON(req.Body, 1<<16, &inst); err != nil {
-		wire.WriteJSON(wrt, http.StatusBadRequest, wire.Fail{Error: err.Error()})
+		wire.WriteJSON(wrt, http.StatusBadRequest, wire.ErrorBody{Error: err.Error()})
 		return
 	}
 	inst.ID = req.PathValue("id")
@@ -270,13 +270,13 @@
 	plt.mtx.Lock()
 	delete(plt.instances, req.PathValue("id"))
 	plt.mtx.Unlock()
-	wire.WriteJSON(wrt, http.StatusOK, wire.Fail{})
+	wire.WriteJSON(wrt, http.StatusOK, wire.ErrorBody{})
 }
 
 func (plt *Platform) weight(wrt http.ResponseWriter, req *http.Request) {
 	if !plt.weights.Allow() {
 		wrt.Header().Set("Retry-After", "1")
-		wire.WriteJSON(wrt, http.StatusTooManyRequests, wire.Fail{Error: "too many loads"})
+		wire.WriteJSON(wrt, http.StatusTooManyRequests, wire.ErrorBody{Error: "too many loads"})
 		return
 	}
 	wire.WriteJSON(wrt, http.StatusOK, wire.Order{Model: req.PathValue("model")})
--- a/internal/state/control.go
+++ b/internal/state/control.go
@@ -90,7 +90,7 @@
 
 // New returns a control state whose loop is not running yet.
 func New(set Setup) *Control {
-	ctl := &Control{set: set, loop: loop.New(set.Clock, func() { set.Meter.Event(meter.EventDropped) }), storeContacted: newSignal(), membersLoaded: newSignal()}
+	ctl := &Control{set: set, loop: loop.New(set.Clock, func() { set.Meter.CountEvent(meter.EventDropped) }), storeContacted: newSignal(), membersLoaded: newSignal()}
 	now := set.Clock.Now()
 	ctl.startedAt = now
 	ctl.list = member.New(set.Self, set.Zone, set.Caller, now)
@@ -150,8 +150,8 @@
 	ctl.group.Tick(now)
 	ctl.endpts.step(now)
 	ctl.facts.step(now)
-	ctl.set.Meter.Set(meter.GaugeLogAge, float64(now-ctl.docs.asOf))
-	ctl.set.Meter.Set(meter.GaugeEventQueue, float64(ctl.loop.QueueLen()))
+	ctl.set.Meter.SetGauge(meter.GaugeLogAge, float64(now-ctl.docs.asOf))
+	ctl.set.Meter.SetGauge(meter.GaugeEventQueue, float64(ctl.loop.QueueLen()))
 }
 
 // publish stores a new view. What is derived from the members alone is reused while they are
@@ -192,10 +192,10 @@
 
 // rankMembers sets the parts of a view that are derived from the members.
 func (ctl *Control) rankMembers(vw *View) {
-	vw.sources = sourcesOf(ctl.list.Homes(readersRankKey))
+	vw.sources = sourcesOf(ctl.list.Owners(readersRankKey))
 	vw.othersFresh = false
 	for _, mbr := range vw.members {
-		if mbr.Who() != ctl.set.Self && mbr.Status() == member.Alive && !mbr.Stale() {
+		if mbr.ID() != ctl.set.Self && mbr.Status() == member.Alive && !mbr.Stale() {
 			vw.othersFresh = true
 		}
 	}
@@ -204,7 +204,7 @@
 	}
 	vw.coordinators = make(map[string][]ident.Incarnation, len(vw.plan.Pools()))
 	for name := range vw.plan.Pools() {
-		vw.coordinators[name] = ctl.list.Homes(name)
+		vw.coordinators[name] = ctl.list.Owners(name)
 	}
 }
 
@@ -217,8 +217,8 @@
 	if len(old.members) != len(vw.members) {
 		ctl.set.Log.Info().Int("before", len(old.members)).Int("members", len(vw.members)).Msg("members changed")
 	}
-	ctl.set.Meter.Set(meter.GaugeMembers, float64(len(vw.members)))
-	ctl.set.Meter.Set(meter.GaugeApplied, float64(vw.offset))
+	ctl.set.Meter.SetGauge(meter.GaugeMembers, float64(len(vw.members)))
+	ctl.set.Meter.SetGauge(meter.GaugeApplied, float64(vw.offset))
 }
 
 // EndpointLeaving records that an endpoint announced to a request that it is leaving, or was found to be gone.
@@ -238,8 +238,8 @@
 		ctl.leaving = true
 		ctl.step(now)
 		for _, mbr := range ctl.list.All() {
-			if mbr.Who() != ctl.set.Self {
-				ctl.group.Probe(mbr.Who().Addr(), mbr.Who())
+			if mbr.ID() != ctl.set.Self {
+				ctl.group.Probe(mbr.ID().Addr(), mbr.ID())
 			}
 		}
 	})
--- a/internal/state/discover.go
+++ b/internal/state/discover.go
@@ -137,8 +137,8 @@
 			ctl.group.Probe(inst.Addr, ident.Incarnation(inst.Name))
 			continue
 		}
-		ctl.list.Learn([]member.News{{
-			Who: ident.Incarnation(inst.Name), Zone: inst.Zone, Caller: inst.Caller, Seq: 1, Capacity: inst.Capacity,
+		ctl.list.Merge([]member.Update{{
+			ID: ident.Incarnation(inst.Name), Zone: inst.Zone, Caller: inst.Caller, Seq: 1, Capacity: inst.Capacity,
 		}}, now)
 	}
 	if len(ctl.list.All()) <= 1 {
@@ -158,7 +158,7 @@
 // isMaintainer reports whether this instance keeps the entries in the store in order for all: the
 // first reader does. An instance that is stopping and knows no other has an empty ranking.
 func (ctl *Control) isMaintainer() bool {
-	ranked := ctl.list.Homes(readersRankKey)
+	ranked := ctl.list.Owners(readersRankKey)
 	return len(ranked) > 0 && ranked[0] == ctl.set.Self
 }
 
@@ -179,7 +179,7 @@
 	ctl.unlisted = map[ident.Incarnation]bool{}
 	reminded := 0
 	for _, mbr := range ctl.list.All() {
-		who := mbr.Who()
+		who := mbr.ID()
 		if who == ctl.set.Self || mbr.Status() != member.Alive || listed[who] {
 			continue
 		}
@@ -211,7 +211,7 @@
 	}
 	for name := range ctl.storedNames {
 		if who := ident.Incarnation(name); !names[name] && addrs[who.Addr()] {
-			ctl.list.End(who, now)
+			ctl.list.MarkEnded(who, now)
 		}
 	}
 	ctl.storedNames = names
--- a/internal/state/discover_test.go
+++ b/internal/state/discover_test.go
@@ -29,8 +29,8 @@
 	all := ctl.list.All()
 	gom.Expect(all).To(gomega.HaveLen(87))
 	for _, mbr := range all {
-		if mbr.Who() != ctl.set.Self {
-			gom.Expect(mbr.Who().Boot()).To(gomega.Equal("new"))
+		if mbr.ID() != ctl.set.Self {
+			gom.Expect(mbr.ID().Boot()).To(gomega.Equal("new"))
 			gom.Expect(mbr.Status()).To(gomega.Equal(member.Alive))
 		}
 	}
@@ -49,7 +49,7 @@
 	live := func(name string) bool { return ctl.list.IsLive(ident.Incarnation(name)) }
 	learn := func(names ...string) {
 		for _, name := range names {
-			ctl.list.Learn([]member.News{{Who: ident.Incarnation(name), Seq: 1}}, 1000)
+			ctl.list.Merge([]member.Update{{ID: ident.Incarnation(name), Seq: 1}}, 1000)
 		}
 	}
 	learn("a:1#old", "a:1#new", "b:1#old", "c:1#old")
--- a/internal/state/docs.go
+++ b/internal/state/docs.go
@@ -288,7 +288,7 @@
 	Age       clock.Milli      `cbor:"3,keyasint"`
 	Endpoints []proto.Endpoint `cbor:"4,keyasint"`
 	// Members are all members that the sender knows.
-	Members []member.News `cbor:"5,keyasint,omitempty"`
+	Members []member.Update `cbor:"5,keyasint,omitempty"`
 }
 
 // fetchSnapshot fetches the state of another instance.
@@ -310,7 +310,7 @@
 			}
 			dct.apply(proto.Document{Offset: snp.Offset, Text: snp.Text}, sent-snp.Age, now, string(from))
 			dct.ctl.endpts.applySnapshot(snp.Endpoints)
-			dct.ctl.list.Learn(snp.Members, now)
+			dct.ctl.list.Merge(snp.Members, now)
 			dct.ctl.membersLoaded.fire()
 		})
 	})
@@ -355,7 +355,7 @@
 	}
 	body, err := cbor.Marshal(snapshot{
 		Offset: ctl.docs.offset, Text: ctl.docs.doc.Text, Age: now - ctl.docs.asOf, Endpoints: ctl.endpts.list,
-		Members: ctl.list.Everybody(),
+		Members: ctl.list.AllUpdates(),
 	})
 	if err != nil {
 		return peer.Message{Kind: peer.Nack, From: ctl.set.Self}
--- a/internal/state/endpts.go
+++ b/internal/state/endpts.go
@@ -228,7 +228,7 @@
 		if ect.faults[fault.Error()] {
 			continue
 		}
-		ect.ctl.set.Meter.Event(meter.EventEntrySkipped)
+		ect.ctl.set.Meter.CountEvent(meter.EventEntrySkipped)
 		if fresh++; fresh <= maxFaultLogs {
 			ect.ctl.set.Log.Error().Err(fault).Msg("invalid endpoint entry skipped")
 		}
--- a/internal/state/facts.go
+++ b/internal/state/facts.go
@@ -87,7 +87,7 @@
 		evt.Msg("request quarantined")
 	}
 	for ; fcl.evicted < fcl.spread.Evicted(); fcl.evicted++ {
-		fcl.ctl.set.Meter.Event(meter.EventFactEvicted)
+		fcl.ctl.set.Meter.CountEvent(meter.EventFactEvicted)
 	}
 }
 
--- a/internal/state/start_test.go
+++ b/internal/state/start_test.go
@@ -140,7 +140,7 @@
 	withdraw := func() {
 		ctl.loop.Do(context.Background(), func(at clock.Milli) {
 			for _, inst := range before {
-				ctl.list.End(ident.Incarnation(inst.Name), at)
+				ctl.list.MarkEnded(ident.Incarnation(inst.Name), at)
 			}
 			ctl.withdrawEnded(append(before, now...))
 		})
@@ -149,7 +149,7 @@
 	gom.Eventually(taken, soon).Should(gomega.Receive(gomega.HaveLen(20)))
 	ctl.loop.Do(context.Background(), func(at clock.Milli) {
 		for i, inst := range now {
-			ctl.list.Learn([]member.News{{Who: ident.Incarnation(inst.Name), Seq: 1, Capacity: float64(10 + i)}}, at)
+			ctl.list.Merge([]member.Update{{ID: ident.Incarnation(inst.Name), Seq: 1, Capacity: float64(10 + i)}}, at)
 		}
 	})
 	withdraw()
@@ -244,13 +244,13 @@
 	gom.Expect(ctl.loop.Do(context.Background(), func(now clock.Milli) {
 		before := entries("before", 3)
 		for _, inst := range before {
-			ctl.list.End(ident.Incarnation(inst.Name), now)
+			ctl.list.MarkEnded(ident.Incarnation(inst.Name), now)
 		}
 		for range 100 {
 			ctl.list.Tick(now)
 			now += clock.Second
 		}
-		gom.Expect(ctl.list.Homes(readersRankKey)).To(gomega.BeEmpty())
+		gom.Expect(ctl.list.Owners(readersRankKey)).To(gomega.BeEmpty())
 		ctl.withdrawEnded(before)
 	})).To(gomega.BeTrue())
 }
--- a/internal/place/place.go
+++ b/internal/tomlx/decode.go
@@ -1,4 +1,4 @@
-package place
+package tomlx
 
 import (
 	"fmt"
@@ -79,8 +79,8 @@
 	return all
 }
 
-// Failed reports whether there is an error, that is, a fault other than a warning.
-func (fts *Faults) Failed() bool {
+// HasErrors reports whether there is an error, that is, a fault other than a warning.
+func (fts *Faults) HasErrors() bool {
 	for _, ft := range fts.list {
 		if !ft.warning {
 			return true
@@ -104,8 +104,8 @@
 	return fmt.Errorf("%s", strings.Join(lines, "\n"))
 }
 
-// Has reports whether the file sets the key at path.
-func (fts *Faults) Has(path string) bool {
+// IsSet reports whether the file sets the key at path.
+func (fts *Faults) IsSet(path string) bool {
 	_, ok := fts.lines[path]
 	return ok
 }
@@ -135,7 +135,7 @@
 	}
 	fts.indexLines(text)
 	fts.checkValue("", tree, reflect.TypeOf(target).Elem())
-	if fts.Failed() {
+	if fts.HasErrors() {
 		return fts
 	}
 	if err := toml.Unmarshal(text, target); err != nil {
--- a/internal/place/doc.go
+++ b/internal/tomlx/doc.go
@@ -1,4 +1,4 @@
-// Package place decodes TOML and reports all faults of a file at once, each
+// Package tomlx decodes TOML and reports all faults of a file at once, each
 // with its key path and line.
 //
 // The decoder of the TOML library stops at the first value of a wrong type and
@@ -14,4 +14,4 @@
 //
 // The packages that own the types validate the values and add to the same list
 // with [Faults.Add].
-package place
+package tomlx
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -25,10 +25,10 @@
 	HeaderReason    = "Amv-Reason"
 	HeaderLoad      = "Amv-Load"
 	HeaderLeaving   = "Amv-Leaving"
-	// HeaderRan with the value RanNo states that the endpoint refused the request
+	// HeaderExecuted with the value RanNo states that the endpoint refused the request
 	// before it executed any part of it.
-	HeaderRan = "Amv-Ran"
-	RanNo     = "no"
+	HeaderExecuted = "Amv-Ran"
+	ExecutedNo     = "no"
 )
 
 // Submit is the body of a caller's request.
@@ -142,23 +142,23 @@
 	Have      []string `json:"have,omitempty"`
 }
 
-// Takes returns all inputs of the stage as one text.
-func (run Run) Takes() string {
+// JoinInputs returns all inputs of the stage as one text.
+func (run Run) JoinInputs() string {
 	if len(run.Inputs) == 0 {
 		return run.Input
 	}
 	return strings.Join(run.Inputs, " ")
 }
 
-// Ran is an endpoint's answer to a [Run].
-type Ran struct {
+// RunResult is an endpoint's answer to a [Run].
+type RunResult struct {
 	Attempt  string      `json:"attempt"`
 	Output   string      `json:"output"`
 	EngineMs clock.Milli `json:"engine_ms"`
 }
 
-// Fail is the body of an error response.
-type Fail struct {
+// ErrorBody is the body of an error response.
+type ErrorBody struct {
 	Error string `json:"error"`
 }
 
@@ -264,20 +264,20 @@
 
 // Status is the status of an instance, for operators.
 type Status struct {
-	Instance  string           `json:"instance"`
-	Zone      string           `json:"zone"`
-	Ready     bool             `json:"ready"`
-	Why       string           `json:"why,omitempty"`
-	Applied   int64            `json:"applied"`
-	LogAgeMs  clock.Milli      `json:"log_age_ms"`
-	Members   []StatusMember   `json:"members"`
-	Services  []StatusService  `json:"services"`
-	Endpoints []StatusEndpoint `json:"endpoints"`
-	Leases    []StatusLease    `json:"leases"`
-	// Gatherers are the coordinators of pools.
-	Gatherers []StatusGatherer `json:"gatherers,omitempty"`
-	Refusals  map[string]int64 `json:"refusals"`
-	Keys      int              `json:"keys"`
+	Instance       string           `json:"instance"`
+	Zone           string           `json:"zone"`
+	Ready          bool             `json:"ready"`
+	NotReadyReason string           `json:"why,omitempty"`
+	Applied        int64            `json:"applied"`
+	LogAgeMs       clock.Milli      `json:"log_age_ms"`
+	Members        []StatusMember   `json:"members"`
+	Services       []StatusService  `json:"services"`
+	Endpoints      []StatusEndpoint `json:"endpoints"`
+	Leases         []StatusLease    `json:"leases"`
+	// Coordinators are the coordinators of pools.
+	Coordinators []StatusCoordinator `json:"gatherers,omitempty"`
+	Refusals     map[string]int64    `json:"refusals"`
+	Keys         int                 `json:"keys"`
 }
 
 // StatusMember is one instance in a [Status].
@@ -289,8 +289,8 @@
 	Load     int    `json:"load"`
 }
 
-// StatusGatherer is the coordinator of a pool in a [Status].
-type StatusGatherer struct {
+// StatusCoordinator is the coordinator of a pool in a [Status].
+type StatusCoordinator struct {
 	Pool     string `json:"pool"`
 	Instance string `json:"instance"`
 }
@@ -320,7 +320,7 @@
 	Until  clock.Milli `json:"until_ms"`
 }
 
-// LeaseOf returns the status of a lease with its current tenure.
-func LeaseOf(name string, ten lease.Tenure) StatusLease {
+// NewStatusLease returns the status of a lease with its current tenure.
+func NewStatusLease(name string, ten lease.Tenure) StatusLease {
 	return StatusLease{Name: name, Holder: string(ten.Holder()), Fence: ten.Fence(), Until: ten.Until()}
 }
--- a/internal/zlog/zlog.go
+++ b/internal/zlog/zlog.go
@@ -18,9 +18,9 @@
 	errorPeriod = 30 * time.Second
 )
 
-// To redirects the lines of go-zero and of Go's standard log to the project's logger and
+// RedirectLibraries redirects the lines of go-zero and of Go's standard log to the project's logger and
 // disables go-zero's statistics. It is called once per process, before any instance is created.
-func To(lgr zerolog.Logger) {
+func RedirectLibraries(lgr zerolog.Logger) {
 	// Libraries without a configured logger, such as quic-go, write to the standard log.
 	// Their plain text would break programs that read the log as JSON.
 	log.SetFlags(0)
--- a/internal/zlog/zlog_test.go
+++ b/internal/zlog/zlog_test.go
@@ -18,7 +18,7 @@
 func TestRepeatedErrorsAreLimited(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	var buf bytes.Buffer
-	To(zerolog.New(&buf))
+	RedirectLibraries(zerolog.New(&buf))
 	for range 1000 {
 		logx.Error("connection refused")
 	}
@@ -31,7 +31,7 @@
 func TestStandardLogIsStructured(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	var buf bytes.Buffer
-	To(zerolog.New(&buf))
+	RedirectLibraries(zerolog.New(&buf))
 	log.Println("failed to increase receive buffer size")
 	var line map[string]string
 	gom.Expect(json.Unmarshal(buf.Bytes(), &line)).To(gomega.Succeed())
--- a/pkg/claim/doc.go
+++ b/pkg/claim/doc.go
@@ -27,6 +27,6 @@
 //
 // A ledger that starts in the middle of the stream knows all live keys if the log retains
 // records for at least MinRetention. A ledger that detects that this does not hold reports
-// it ([Ledger.Covers]), and no key is claimed by it until all claims that it may have
+// it ([Ledger.IsComplete]), and no key is claimed by it until all claims that it may have
 // missed have expired.
 package claim
--- a/pkg/claim/judge.go
+++ b/pkg/claim/judge.go
@@ -24,8 +24,8 @@
 	Refuse // refuse
 )
 
-// Ask describes the request about which [Judge] decides.
-type Ask struct {
+// Query describes the request about which [Judge] decides.
+type Query struct {
 	// Attempt is the id of this attempt.
 	Attempt string
 	// Digest is the hash of the request.
@@ -38,7 +38,7 @@
 
 // Judge decides from the state of a key at the time now. The result is set for Refuse and
 // Answer.
-func Judge(st State, ask Ask, now clock.Milli) (Move, outcm.Result) {
+func Judge(st State, ask Query, now clock.Milli) (Move, outcm.Result) {
 	named := st.attempt != ""
 	if named && st.digest != ask.Digest {
 		return Refuse, outcm.New(outcm.NotRun, outcm.KeyConflict, "the key belongs to a request with another digest; this one did not run")
--- a/pkg/claim/ledger.go
+++ b/pkg/claim/ledger.go
@@ -165,8 +165,8 @@
 	ldg.applied = start - 1
 }
 
-// Covers reports whether every key that can still be repeated is known at the time now.
-func (ldg *Ledger) Covers(now clock.Milli) bool { return now >= ldg.incompleteUntil }
+// IsComplete reports whether every key that can still be repeated is known at the time now.
+func (ldg *Ledger) IsComplete(now clock.Milli) bool { return now >= ldg.incompleteUntil }
 
 // Change is a change of a key's state by an applied record.
 type Change struct {
--- a/pkg/claim/ledger_test.go
+++ b/pkg/claim/ledger_test.go
@@ -28,7 +28,7 @@
 			at, _ := strconv.ParseInt(vals["at"], 10, 64)
 			switch verb {
 			case "ask":
-				ask := Ask{Attempt: vals["attempt"], Digest: vals["digest"], Expires: milli(vals["expires"]), HolderLive: vals["live"] != "no"}
+				ask := Query{Attempt: vals["attempt"], Digest: vals["digest"], Expires: milli(vals["expires"]), HolderLive: vals["live"] != "no"}
 				move, res := Judge(ldg.Find(vals["key"]), ask, clock.Milli(at))
 				fmt.Fprintf(&out, "%s -> %s %s %s\n", line, move, res.Outcome(), res.Reason())
 			case "restart":
@@ -36,7 +36,7 @@
 				ldg.Restart(start, clock.Milli(at))
 				offset = start - 1
 			case "covers":
-				fmt.Fprintf(&out, "%s -> %t\n", line, ldg.Covers(clock.Milli(at)))
+				fmt.Fprintf(&out, "%s -> %t\n", line, ldg.IsComplete(clock.Milli(at)))
 			default:
 				offset++
 				ent := Entry{
@@ -94,7 +94,7 @@
 	if ins.attempt == "" || ins.gaveUp || ins.ran {
 		return
 	}
-	ask := Ask{Attempt: ins.attempt, Digest: "d", Expires: MaxLife / 2, HolderLive: live}
+	ask := Query{Attempt: ins.attempt, Digest: "d", Expires: MaxLife / 2, HolderLive: live}
 	if move, _ := Judge(ins.ldg.Find("k"), ask, 1); move == Run {
 		ins.ran = true
 		scn.ran[ins.attempt] = true
@@ -233,11 +233,11 @@
 		for i := range log {
 			key := fmt.Sprintf("k%d", i)
 			st := all.Find(key)
-			if st.Phase() != Free && st.Expires() > now && late.Find(key) != st && late.Covers(now) {
+			if st.Phase() != Free && st.Expires() > now && late.Find(key) != st && late.IsComplete(now) {
 				t.Fatalf("live key %s is unknown to a reader that reports to cover it", key)
 			}
 		}
-		if kept && !late.Covers(now) {
+		if kept && !late.IsComplete(now) {
 			t.Fatal("a new reader refuses claims although the log met its retention")
 		}
 	})
@@ -248,9 +248,9 @@
 	ent := Entry{Kind: KindClaim, Key: "w/booking/k", Attempt: "a1", Holder: "10.0.0.1:7300#ab", Digest: "d", Expires: 5000}
 	ldg.Apply([]oplog.Record{{Offset: 1, At: 1000, Body: ent.Encode()}})
 
-	move, _ := Judge(ldg.Find("w/booking/k"), Ask{Attempt: "a1", Digest: "d", Expires: 5000}, 1001)
+	move, _ := Judge(ldg.Find("w/booking/k"), Query{Attempt: "a1", Digest: "d", Expires: 5000}, 1001)
 	fmt.Println("the holder:", move)
-	move, res := Judge(ldg.Find("w/booking/k"), Ask{Attempt: "a2", Digest: "d", Expires: 5000}, 1001)
+	move, res := Judge(ldg.Find("w/booking/k"), Query{Attempt: "a2", Digest: "d", Expires: 5000}, 1001)
 	fmt.Println("a repeat when the holder is gone:", move, res.Outcome(), res.Reason())
 	// Output:
 	// the holder: run
--- a/pkg/claim/tickets.go
+++ b/pkg/claim/tickets.go
@@ -33,19 +33,19 @@
 // maxTickets bounds the tickets of an incarnation: 30 MB at 461 bytes a key.
 const maxTickets = 1 << 16
 
-// Desk is the ledger of the tickets of one incarnation. It exists only in the memory of
+// Tickets is the ledger of the tickets of one incarnation. It exists only in the memory of
 // that process; [Judge] decides from its states as from those of a [Ledger]. The zero value
 // is empty. It is owned by the control loop.
-type Desk struct {
+type Tickets struct {
 	keys map[string]State
 }
 
 // Find returns the state of a ticket.
-func (dsk *Desk) Find(key string) State { return dsk.keys[key] }
+func (dsk *Tickets) Find(key string) State { return dsk.keys[key] }
 
 // Hold assigns a free ticket to an attempt. It returns false if the ticket is not free or
 // the limit of tickets is reached.
-func (dsk *Desk) Hold(ent Entry, now clock.Milli) bool {
+func (dsk *Tickets) Hold(ent Entry, now clock.Milli) bool {
 	if dsk.keys == nil {
 		dsk.keys = map[string]State{}
 	}
@@ -60,7 +60,7 @@
 }
 
 // Release frees a ticket whose attempt ran nothing with an effect.
-func (dsk *Desk) Release(key, attempt string) {
+func (dsk *Tickets) Release(key, attempt string) {
 	if st := dsk.keys[key]; st.phase == Held && st.attempt == attempt {
 		st.phase = Free
 		dsk.keys[key] = st
@@ -68,7 +68,7 @@
 }
 
 // Settle records the outcome of a ticket's request.
-func (dsk *Desk) Settle(ent Entry) {
+func (dsk *Tickets) Settle(ent Entry) {
 	st := dsk.keys[ent.Key]
 	if st.phase != Held || st.attempt != ent.Attempt {
 		return
@@ -78,7 +78,7 @@
 
 // forgetExpired removes expired tickets and reports whether there is capacity for another
 // one.
-func (dsk *Desk) forgetExpired(now clock.Milli) bool {
+func (dsk *Tickets) forgetExpired(now clock.Milli) bool {
 	for key, st := range dsk.keys {
 		if st.forgetAt <= now {
 			delete(dsk.keys, key)
--- a/pkg/ident/ident_test.go
+++ b/pkg/ident/ident_test.go
@@ -17,7 +17,7 @@
 
 func ExampleProcess() {
 	was, now := NewProcess("i-7f3a", 1000), NewProcess("i-7f3a", 2000)
-	fmt.Println(now, now.Name(), now.Born(), now.Replaces(was), was.Replaces(now))
+	fmt.Println(now, now.Name(), now.StartedAt(), now.Replaces(was), was.Replaces(now))
 	// Output: i-7f3a@2000 i-7f3a 2000 true false
 }
 
@@ -29,7 +29,7 @@
 		for _, born := range []clock.Milli{0, 1, 1790000000000} {
 			prc := NewProcess(name, born)
 			gom.Expect(prc.Name()).To(gomega.Equal(name))
-			gom.Expect(prc.Born()).To(gomega.Equal(born))
+			gom.Expect(prc.StartedAt()).To(gomega.Equal(born))
 		}
 	}
 	gom.Expect(NewProcess("a", 2).Replaces(NewProcess("b", 1))).To(gomega.BeFalse())
--- a/pkg/ident/process.go
+++ b/pkg/ident/process.go
@@ -35,8 +35,8 @@
 	return string(prc)
 }
 
-// Born returns the start time, zero if it is unknown.
-func (prc Process) Born() clock.Milli {
+// StartedAt returns the start time, zero if it is unknown.
+func (prc Process) StartedAt() clock.Milli {
 	at := strings.LastIndex(string(prc), startSep)
 	if at < 0 {
 		return 0
@@ -50,5 +50,5 @@
 
 // Replaces reports whether prc is a later run of the same endpoint than old.
 func (prc Process) Replaces(old Process) bool {
-	return prc.Name() == old.Name() && prc.Born() > old.Born()
+	return prc.Name() == old.Name() && prc.StartedAt() > old.StartedAt()
 }
--- a/pkg/ident/watch.go
+++ b/pkg/ident/watch.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// Watch cancels calls to endpoints that turn out to have restarted. A call to an earlier
+// RestartWatch cancels calls to endpoints that turn out to have restarted. A call to an earlier
 // run is never answered; if the connection is unresponsive as well, only a timeout would
 // end it. The zero value watches nothing. It is safe for concurrent use.
-type Watch struct {
+type RestartWatch struct {
 	mtx  sync.Mutex
 	next int64
 	// byName holds the calls in flight by endpoint name and key.
@@ -17,9 +17,9 @@
 	cancel func()
 }
 
-// Watch registers cancel to be called when a later run of the endpoint than proc is listed.
+// Add registers cancel to be called when a later run of the endpoint than proc is listed.
 // The caller must call stop when the call has ended.
-func (wat *Watch) Watch(proc Process, cancel func()) (stop func()) {
+func (wat *RestartWatch) Add(proc Process, cancel func()) (stop func()) {
 	wat.mtx.Lock()
 	defer wat.mtx.Unlock()
 	name := proc.Name()
@@ -35,7 +35,7 @@
 	return func() { wat.stop(name, key) }
 }
 
-func (wat *Watch) stop(name string, key int64) {
+func (wat *RestartWatch) stop(name string, key int64) {
 	wat.mtx.Lock()
 	defer wat.mtx.Unlock()
 	delete(wat.byName[name], key)
@@ -44,9 +44,9 @@
 	}
 }
 
-// Listed records that a run is listed, and cancels the calls to earlier runs of the
+// RunListed records that a run is listed, and cancels the calls to earlier runs of the
 // endpoint.
-func (wat *Watch) Listed(proc Process) {
+func (wat *RestartWatch) RunListed(proc Process) {
 	wat.mtx.Lock()
 	defer wat.mtx.Unlock()
 	for _, wtd := range wat.byName[proc.Name()] {
--- a/pkg/ident/watch_test.go
+++ b/pkg/ident/watch_test.go
@@ -11,18 +11,18 @@
 // the other endpoint and to the new run continue.
 func TestCallsOfAnEarlierRunEnd(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	var wat Watch
+	var wat RestartWatch
 	ended := map[string]int{}
-	watch := func(proc Process) func() { return wat.Watch(proc, func() { ended[string(proc)]++ }) }
+	watch := func(proc Process) func() { return wat.Add(proc, func() { ended[string(proc)]++ }) }
 	stopOld, stopNew, stopOther := watch("a@1"), watch("a@2"), watch("b@1")
 	watch("a@1")()
-	wat.Listed("a@1")
-	wat.Listed("b@1")
+	wat.RunListed("a@1")
+	wat.RunListed("b@1")
 	gom.Expect(ended).To(gomega.BeEmpty())
-	wat.Listed("a@2")
+	wat.RunListed("a@2")
 	gom.Expect(ended).To(gomega.Equal(map[string]int{"a@1": 1}))
 	stopOld()
-	wat.Listed("a@2")
+	wat.RunListed("a@2")
 	gom.Expect(ended).To(gomega.Equal(map[string]int{"a@1": 1}))
 	stopNew()
 	stopOther()
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -4,7 +4,7 @@
 // # Concepts
 //
 // A lease is a sequence of records in the log. The offset of the record that acquired it is
-// the fencing number. The state machine ([Book]) measures time by the log's clock alone, so
+// the fencing number. The state machine ([Table]) measures time by the log's clock alone, so
 // that all instances agree on the holder. A holder itself measures by its own clock, from
 // before it sent the append ([Grant.Valid]), and therefore always considers the lease over
 // earlier than the state machine does.
@@ -35,10 +35,10 @@
 const (
 	// TTL is the duration of a lease, from the time of its record.
 	TTL = 10 * clock.Second
-	// Renew is the interval between appends of a holder.
-	Renew = 3 * clock.Second
-	// Flight is the maximum time that an order may be in flight.
-	Flight = 5 * clock.Second
+	// RenewInterval is the interval between appends of a holder.
+	RenewInterval = 3 * clock.Second
+	// MaxOrderTime is the maximum time that an order may be in flight.
+	MaxOrderTime = 5 * clock.Second
 )
 
 // The kinds of entry in the leases' stream.
@@ -86,28 +86,28 @@
 // Until returns the time at which the lease ends, by the log's clock.
 func (ten Tenure) Until() clock.Milli { return ten.until }
 
-// Book is the replicated state machine over the leases' stream. The zero value expects
+// Table is the replicated state machine over the leases' stream. The zero value expects
 // offset 1.
-type Book struct {
+type Table struct {
 	applied int64
 	logNow  clock.Milli
 	leases  map[string]Tenure
 }
 
 // Applied returns the offset of the last applied record.
-func (bk *Book) Applied() int64 { return bk.applied }
+func (bk *Table) Applied() int64 { return bk.applied }
 
 // Next returns the offset to read from.
-func (bk *Book) Next() int64 { return bk.applied + 1 }
+func (bk *Table) Next() int64 { return bk.applied + 1 }
 
 // Find returns a lease's last tenure, whether it has ended or not.
-func (bk *Book) Find(name string) (Tenure, bool) {
+func (bk *Table) Find(name string) (Tenure, bool) {
 	ten, ok := bk.leases[name]
 	return ten, ok
 }
 
 // All returns the tenures by name.
-func (bk *Book) All() map[string]Tenure {
+func (bk *Table) All() map[string]Tenure {
 	all := make(map[string]Tenure, len(bk.leases))
 	for name, ten := range bk.leases {
 		all[name] = ten
@@ -118,7 +118,7 @@
 // Restart makes the state machine continue at the oldest offset that the log still has.
 // Leases last seconds and records are retained for hours, so that an unread lease has ended
 // long ago; its fencing number is smaller than any later offset.
-func (bk *Book) Restart(start int64) {
+func (bk *Table) Restart(start int64) {
 	if start > bk.Next() {
 		bk.applied = start - 1
 	}
@@ -126,7 +126,7 @@
 
 // Apply applies the next records in the order of their offsets. It stops at a missing
 // record, and gap is then true.
-func (bk *Book) Apply(recs []oplog.Record) (gap bool) {
+func (bk *Table) Apply(recs []oplog.Record) (gap bool) {
 	for _, rec := range recs {
 		if rec.Offset < bk.Next() {
 			continue
@@ -144,7 +144,7 @@
 	return false
 }
 
-func (bk *Book) step(rec oplog.Record, ent Entry) {
+func (bk *Table) step(rec oplog.Record, ent Entry) {
 	if bk.leases == nil {
 		bk.leases = map[string]Tenure{}
 	}
@@ -156,7 +156,7 @@
 		case mine && rec.At < cur.until:
 			cur.until, cur.id = rec.At+TTL, ent.ID
 			bk.leases[ent.Name] = cur
-		case !ok || rec.At >= cur.until+Flight:
+		case !ok || rec.At >= cur.until+MaxOrderTime:
 			bk.leases[ent.Name] = Tenure{holder: ent.Holder, fence: rec.Offset, until: rec.At + TTL, id: ent.ID}
 		}
 	case KindRelease:
@@ -167,11 +167,11 @@
 	}
 }
 
-// Open reports whether an acquisition appended at the time now would probably succeed. It
+// Available reports whether an acquisition appended at the time now would probably succeed. It
 // avoids appends that can't succeed and is never trusted for safety.
-func (bk *Book) Open(name string, now clock.Milli) bool {
+func (bk *Table) Available(name string, now clock.Milli) bool {
 	ten, ok := bk.leases[name]
-	return !ok || now >= ten.until+Flight
+	return !ok || now >= ten.until+MaxOrderTime
 }
 
 // Grant is a holder's own view of its lease.
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -19,7 +19,7 @@
 // TestSessions runs sequences of acquisitions, renewals and releases.
 func TestSessions(t *testing.T) {
 	golden.Run(t, "*.txtar", func(_ *testing.T, sections map[string]string) string {
-		var bk Book
+		var bk Table
 		var out strings.Builder
 		for i, line := range golden.Lines(sections["input"]) {
 			verb, vals := golden.Fields(line)
@@ -49,7 +49,7 @@
 func TestOneHolderAtATime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log []oplog.Record
-		var bk Book
+		var bk Table
 		now := clock.Milli(1_000_000)
 		holders := make([]*holder, 3)
 		for i := range holders {
@@ -104,7 +104,7 @@
 // which another instance can acquire the lease, the first holder's grant is no longer
 // valid, and has not been for the time that an order may be in flight.
 func TestPausedHolderLosesGrant(t *testing.T) {
-	var bk Book
+	var bk Table
 	acquire := func(offset int64, who ident.Incarnation, at clock.Milli) Tenure {
 		ent := Entry{Kind: KindAcquire, Name: "orders", Holder: who, ID: string(who)}
 		bk.Apply([]oplog.Record{{Offset: offset, At: at, Body: ent.Encode()}})
@@ -118,7 +118,7 @@
 		at += 100
 		acquire(offset, "i2", at)
 	}
-	if grant.Valid(at) || grant.Valid(at-Flight) {
+	if grant.Valid(at) || grant.Valid(at-MaxOrderTime) {
 		t.Fatalf("at %d another instance holds the lease and the grant of the first is valid until %d", at, 1000+TTL)
 	}
 }
--- a/pkg/limit/size_test.go
+++ b/pkg/limit/size_test.go
@@ -66,7 +66,7 @@
 // coordinator returns the coordinator of the rate in the view of an instance, and how many
 // unresponsive ones were passed over.
 func (sds *senders) coordinator(sdr *sender) (who ident.Incarnation, silent int) {
-	for _, who := range sdr.List().Homes("pool") {
+	for _, who := range sdr.List().Owners("pool") {
 		if who == sdr.Who() || sds.Now() >= sdr.unresponsive[who] {
 			return who, silent
 		}
--- a/pkg/member/choose.go
+++ b/pkg/member/choose.go
@@ -73,7 +73,7 @@
 	return rank(name, serving)[0]
 }
 
-// Homes returns the live members in the order in which they own a name: the second takes
+// Owners returns the live members in the order in which they own a name: the second takes
 // over when the first can't be reached. Members are ranked by weighted rendezvous hashing
 // (J. Mosheyev and others, "Weighted distributed hash tables", 2005, in the form of the
 // logarithmic method), so that a member with twice the capacity owns twice as many names.
@@ -85,7 +85,7 @@
 // incarnations only a second later. Ranked by incarnation, each of hundreds of instances
 // considered itself the only owner until then, had items processed for itself and used up
 // the capacity of the endpoints.
-func (lst *List) Homes(name string) []ident.Incarnation {
+func (lst *List) Owners(name string) []ident.Incarnation {
 	type scored struct {
 		who   ident.Incarnation
 		cores float64
@@ -94,7 +94,7 @@
 	var serving []scored
 	strongest := 0.0
 	for _, mbr := range lst.byAddress() {
-		serving = append(serving, scored{who: mbr.news.Who, cores: mbr.capacity(), score: mbr.score(name)})
+		serving = append(serving, scored{who: mbr.news.ID, cores: mbr.capacity(), score: mbr.score(name)})
 		strongest = max(strongest, mbr.capacity())
 	}
 	slices.SortFunc(serving, func(x, y scored) int {
@@ -141,7 +141,7 @@
 	if mbr.lastSeen != oth.lastSeen {
 		return mbr.lastSeen > oth.lastSeen
 	}
-	return compare(mbr.Who(), oth.Who()) > 0
+	return compare(mbr.ID(), oth.ID()) > 0
 }
 
 // weakFraction is the fraction of the largest capacity below which a member owns names only
@@ -159,7 +159,7 @@
 // score is the member's rank for a name: its capacity divided by an exponential variate
 // derived from the name and the member's address.
 func (mbr *Member) score(name string) float64 {
-	hash := xxhash.Sum64String(name + "\x00" + mbr.news.Who.Addr())
+	hash := xxhash.Sum64String(name + "\x00" + mbr.news.ID.Addr())
 	even := (float64(hash>>11) + 0.5) / (1 << 53)
 	return mbr.capacity() / -math.Log(even)
 }
@@ -176,21 +176,21 @@
 	return pos
 }
 
-// MostHeard returns the latest time since which a majority of the members, including the
+// MajoritySeen returns the latest time since which a majority of the members, including the
 // instance itself, has been seen; false if no majority ever was. Members declared dead
 // count towards the total unless their end is proved: a partitioned instance declares all
 // others dead after some seconds, and without them it would form a majority alone and use
 // outdated documents again.
-func (lst *List) MostHeard(now clock.Milli) (since clock.Milli, ok bool) {
+func (lst *List) MajoritySeen(now clock.Milli) (since clock.Milli, ok bool) {
 	all := 0
 	var heard []clock.Milli
 	for _, mbr := range lst.members {
-		if mbr.news.Gone {
+		if mbr.news.Ended {
 			continue
 		}
 		all++
 		switch {
-		case mbr.news.Who == lst.self:
+		case mbr.news.ID == lst.self:
 			heard = append(heard, now)
 		case mbr.news.Status != Dead:
 			heard = append(heard, mbr.lastSeen)
@@ -232,21 +232,21 @@
 
 func compare(x, y ident.Incarnation) int { return strings.Compare(string(x), string(y)) }
 
-// Behind returns the members that may still use a state older than offset: those not dead
+// Lagging returns the members that may still use a state older than offset: those not dead
 // that have not reported it, and those declared dead less than bound after their last sign
 // of life, since they may not have noticed. If at least half of all members are
 // unresponsive, they may be in contact with each other and continue together; they are
 // returned for as long as they are remembered.
-func (lst *List) Behind(offset int64, bound, now clock.Milli) []ident.Incarnation {
+func (lst *List) Lagging(offset int64, bound, now clock.Milli) []ident.Incarnation {
 	var late, lost []ident.Incarnation
 	all := 0
 	for who, mbr := range lst.members {
 		dead := mbr.news.Status == Dead
-		if !dead || !mbr.news.Gone {
+		if !dead || !mbr.news.Ended {
 			all++
 		}
 		switch {
-		case mbr.news.Applied >= offset || mbr.news.Gone:
+		case mbr.news.Applied >= offset || mbr.news.Ended:
 		case !dead || now-mbr.lastSeen < bound:
 			late = append(late, who)
 		default:
@@ -260,9 +260,9 @@
 	return late
 }
 
-// HomeIn returns the live member of a data centre that owns a name, or one of any data
+// OwnerIn returns the live member of a data centre that owns a name, or one of any data
 // centre if that one has no live member.
-func (lst *List) HomeIn(zone, name string) ident.Incarnation {
+func (lst *List) OwnerIn(zone, name string) ident.Incarnation {
 	var serving []ident.Incarnation
 	for who, mbr := range lst.members {
 		if mbr.news.Status == Alive && mbr.news.Zone == zone {
--- a/pkg/member/doc.go
+++ b/pkg/member/doc.go
@@ -26,9 +26,9 @@
 //
 // # Ownership of names
 //
-// Names are owned by addresses ([List.Homes]), not by incarnations. A simultaneous restart
+// Names are owned by addresses ([List.Owners]), not by incarnations. A simultaneous restart
 // of all instances therefore changes no owner, and instances agree before they have learned
-// each other's incarnations. [List.Doubt] probes a member at once that did not answer a
+// each other's incarnations. [List.RequestProbe] probes a member at once that did not answer a
 // request.
 //
 // The list is never trusted for safety. It saves work, and it bounds when a publisher may
--- a/pkg/member/member.go
+++ b/pkg/member/member.go
@@ -47,12 +47,12 @@
 	MeshSize = 16
 	// Fanout is the number of neighbours that are probed above MeshSize.
 	Fanout = 8
-	// MaxNews is the maximum number of updates in a message, and MaxEnded that of
+	// MaxUpdates is the maximum number of updates in a message, and MaxEnded that of
 	// additional names of ended members. After a simultaneous restart as many ends as there
 	// are members have to reach each instance, which counts the ended ones as live until
 	// then.
-	MaxNews  = 6
-	MaxEnded = 24
+	MaxUpdates = 6
+	MaxEnded   = 24
 	// When a member joins, leaves or ends, ExtraProbes additional probes are sent,
 	// ExtraProbeGap apart, so that the update reaches all instances within a second: each
 	// passes it on to three more, 86 members in four rounds. Regular probes alone take a
@@ -64,9 +64,9 @@
 	extraProbeBurst  = 6.0
 )
 
-// News is an update about one member as instances exchange it.
-type News struct {
-	Who    ident.Incarnation `cbor:"1,keyasint"`
+// Update is an update about one member as instances exchange it.
+type Update struct {
+	ID     ident.Incarnation `cbor:"1,keyasint"`
 	Zone   string            `cbor:"2,keyasint"`
 	Caller string            `cbor:"3,keyasint"`
 	Seq    uint64            `cbor:"4,keyasint"`
@@ -82,13 +82,13 @@
 	Stale bool `cbor:"9,keyasint,omitempty"`
 	// Capacity is the CPU capacity of the member in cores; zero counts as 1.
 	Capacity float64 `cbor:"10,keyasint,omitempty"`
-	// Gone reports that the member is proved to have ended and is not merely unresponsive.
-	Gone bool `cbor:"11,keyasint,omitempty"`
+	// Ended reports that the member is proved to have ended and is not merely unresponsive.
+	Ended bool `cbor:"11,keyasint,omitempty"`
 }
 
 // Member is the known state of one instance.
 type Member struct {
-	news News
+	news Update
 	// lastSeen is the time of the last sign of life, changedAt that of the last change of status.
 	lastSeen  clock.Milli
 	changedAt clock.Milli
@@ -98,8 +98,8 @@
 	replaced bool
 }
 
-// Who returns the member's identity.
-func (mbr Member) Who() ident.Incarnation { return mbr.news.Who }
+// ID returns the member's identity.
+func (mbr Member) ID() ident.Incarnation { return mbr.news.ID }
 
 // Zone returns the member's data centre.
 func (mbr Member) Zone() string { return mbr.news.Zone }
@@ -119,8 +119,8 @@
 // Stale reports whether the member declared that its documents may be out of date.
 func (mbr Member) Stale() bool { return mbr.news.Stale }
 
-// Heard returns the time of the last sign of life, received directly or through others.
-func (mbr Member) Heard() clock.Milli { return mbr.lastSeen }
+// LastSeen returns the time of the last sign of life, received directly or through others.
+func (mbr Member) LastSeen() clock.Milli { return mbr.lastSeen }
 
 // ActionKind is the kind of an [Action].
 type ActionKind int
@@ -173,7 +173,7 @@
 		self: self, members: map[ident.Incarnation]*Member{}, pending: map[ident.Incarnation]pending{},
 		extraBudget: extraProbeBurst, extraBudgetAt: now,
 	}
-	lst.members[self] = &Member{news: News{Who: self, Zone: zone, Caller: caller, Seq: 1}, lastSeen: now, changedAt: now}
+	lst.members[self] = &Member{news: Update{ID: self, Zone: zone, Caller: caller, Seq: 1}, lastSeen: now, changedAt: now}
 	return lst
 }
 
@@ -231,7 +231,7 @@
 			all = append(all, *mbr)
 		}
 	}
-	slices.SortFunc(all, func(x, y Member) int { return compare(x.Who(), y.Who()) })
+	slices.SortFunc(all, func(x, y Member) int { return compare(x.ID(), y.ID()) })
 	return all
 }
 
@@ -242,8 +242,8 @@
 	return ok && mbr.news.Status != Dead
 }
 
-// Learn merges updates from another instance and reports whether any of them was new.
-func (lst *List) Learn(items []News, now clock.Milli) bool {
+// Merge merges updates from another instance and reports whether any of them was new.
+func (lst *List) Merge(items []Update, now clock.Milli) bool {
 	changed := false
 	for _, item := range items {
 		changed = lst.learn(item, now) || changed
@@ -251,21 +251,21 @@
 	return changed
 }
 
-func (lst *List) learn(item News, now clock.Milli) bool {
-	if item.Who == lst.self {
+func (lst *List) learn(item Update, now clock.Milli) bool {
+	if item.ID == lst.self {
 		return lst.refute(item)
 	}
-	cur, ok := lst.members[item.Who]
+	cur, ok := lst.members[item.ID]
 	switch {
-	case ok && cur.news.Gone:
+	case ok && cur.news.Ended:
 		// Proved to have ended; any further update is stale.
 		return false
-	case item.Gone || item.Who.Addr() == lst.self.Addr():
+	case item.Ended || item.ID.Addr() == lst.self.Addr():
 		// No other process can be at this instance's own address, so that the one listed
 		// there has ended. The end is spread from here: when hundreds of instances
 		// restarted at once and found the ended ones by probing alone, they counted them as
 		// live for half a minute and did not agree on any owner.
-		lst.End(item.Who, now)
+		lst.MarkEnded(item.ID, now)
 		return true
 	case !ok:
 		lst.add(item, now)
@@ -298,7 +298,7 @@
 // and the worse status at the same one. Unlike in the paper, a member declared dead may
 // refute that too: after a partition between regions heals, each side has declared the
 // other dead, and if that were final the system would stay split.
-func overrides(item, cur News) bool {
+func overrides(item, cur Update) bool {
 	if item.Seq != cur.Seq {
 		return item.Seq > cur.Seq
 	}
@@ -308,7 +308,7 @@
 // refute answers a suspicion of this instance with a higher sequence number. Otherwise a
 // member whose acknowledgement was lost would be removed while it serves, and the keys that
 // it holds would be answered as unknown.
-func (lst *List) refute(item News) bool {
+func (lst *List) refute(item Update) bool {
 	me := lst.members[lst.self]
 	if item.Status <= Leaving || item.Seq < me.news.Seq {
 		return false
@@ -321,8 +321,8 @@
 // add adds an unknown member. An older incarnation at the same address is kept: an update
 // about it may be the more recent of the two, and the next probe of the address proves
 // which one is there (see Drop).
-func (lst *List) add(item News, now clock.Milli) {
-	lst.members[item.Who] = &Member{news: item, lastSeen: now, changedAt: now}
+func (lst *List) add(item Update, now clock.Milli) {
+	lst.members[item.ID] = &Member{news: item, lastSeen: now, changedAt: now}
 	lst.extraProbes = ExtraProbes
 	lst.changes++
 }
@@ -380,7 +380,7 @@
 			// expiry: with a fifth of the messages lost, a refutation often takes longer
 			// than SuspectFor, and healthy members were declared dead.
 			lst.kill(mbr, now)
-		case mbr.news.Gone && now-mbr.changedAt >= ForgetAfter:
+		case mbr.news.Ended && now-mbr.changedAt >= ForgetAfter:
 			delete(lst.members, who)
 			lst.changes++
 		case mbr.replaced && now-mbr.changedAt >= ReplacedFor:
@@ -423,11 +423,11 @@
 	}
 }
 
-// Doubt returns a probe of a member that did not answer a request; unless the member
+// RequestProbe returns a probe of a member that did not answer a request; unless the member
 // acknowledges it, it is suspected one period later. Regular probes reach a member only
 // every few seconds. Until then each request that needs it would time out first, and after
 // a power failure of most instances every pool would have several coordinators at once.
-func (lst *List) Doubt(who ident.Incarnation, now clock.Milli) (Action, bool) {
+func (lst *List) RequestProbe(who ident.Incarnation, now clock.Milli) (Action, bool) {
 	if _, waiting := lst.pending[who]; waiting || who == lst.self || !lst.IsLive(who) {
 		return Action{}, false
 	}
@@ -443,30 +443,30 @@
 	}
 }
 
-// Drop records that another incarnation answered at the member's address, which proves that
+// MarkReplaced records that another incarnation answered at the member's address, which proves that
 // the member has ended.
-func (lst *List) Drop(who ident.Incarnation, now clock.Milli) {
+func (lst *List) MarkReplaced(who ident.Incarnation, now clock.Milli) {
 	if _, ok := lst.members[who]; ok {
-		lst.End(who, now)
+		lst.MarkEnded(who, now)
 	}
 }
 
-// End records that a member is proved to have ended, including an unknown one, so that
+// MarkEnded records that a member is proved to have ended, including an unknown one, so that
 // stale updates can't add it. The end is spread to the other instances.
-func (lst *List) End(who ident.Incarnation, now clock.Milli) {
+func (lst *List) MarkEnded(who ident.Incarnation, now clock.Milli) {
 	if who == lst.self {
 		return
 	}
 	delete(lst.pending, who)
 	mbr, ok := lst.members[who]
 	if !ok {
-		mbr = &Member{news: News{Who: who}, lastSeen: now}
+		mbr = &Member{news: Update{ID: who}, lastSeen: now}
 		lst.members[who] = mbr
 	}
-	if !mbr.news.Gone {
+	if !mbr.news.Ended {
 		// The end is proved by the process that is at the address now.
 		mbr.replaced = ok
-		mbr.news.Gone = true
+		mbr.news.Ended = true
 		lst.kill(mbr, now)
 		lst.extraProbes = ExtraProbes
 	}
@@ -476,16 +476,16 @@
 // list, which proves that its process has ended.
 func (lst *List) Delist(who ident.Incarnation) {
 	if mbr, ok := lst.members[who]; ok && mbr.news.Status == Dead {
-		mbr.news.Gone = true
+		mbr.news.Ended = true
 	}
 }
 
-// Dead returns the members declared dead whose end is not proved. They are probed while the
+// Unconfirmed returns the members declared dead whose end is not proved. They are probed while the
 // platform lists them, since they may be partitioned.
-func (lst *List) Dead() []ident.Incarnation {
+func (lst *List) Unconfirmed() []ident.Incarnation {
 	var dead []ident.Incarnation
 	for who, mbr := range lst.members {
-		if mbr.news.Status == Dead && !mbr.news.Gone {
+		if mbr.news.Status == Dead && !mbr.news.Ended {
 			dead = append(dead, who)
 		}
 	}
@@ -493,24 +493,24 @@
 	return dead
 }
 
-// Everybody returns the updates about all members, for an instance that knows few. Limited
+// AllUpdates returns the updates about all members, for an instance that knows few. Limited
 // to the usual number in a message, the instance would rank the wrong owners for a quarter
 // of a minute.
-func (lst *List) Everybody() []News {
-	all := make([]News, 0, len(lst.members))
+func (lst *List) AllUpdates() []Update {
+	all := make([]Update, 0, len(lst.members))
 	for _, mbr := range lst.members {
 		all = append(all, mbr.news)
 	}
-	slices.SortFunc(all, func(x, y News) int { return compare(x.Who, y.Who) })
+	slices.SortFunc(all, func(x, y Update) int { return compare(x.ID, y.ID) })
 	return all
 }
 
-// Gossip returns the updates for the next message to a member: the instance's own, a
+// Updates returns the updates for the next message to a member: the instance's own, a
 // suspicion of the receiver so that it can refute it at once, the least sent ones, and in
 // addition names of ended members. An update of a dead member is sent about 3·log2(n)
 // times.
-func (lst *List) Gossip(to ident.Incarnation) []News {
-	items := []News{lst.members[lst.self].news}
+func (lst *List) Updates(to ident.Incarnation) []Update {
+	items := []Update{lst.members[lst.self].news}
 	if mbr, ok := lst.members[to]; ok && mbr.news.Status >= Suspect {
 		items = append(items, mbr.news)
 	}
@@ -519,17 +519,17 @@
 	for who, mbr := range lst.members {
 		switch {
 		case who == lst.self || who == to || mbr.sends >= most && mbr.news.Status == Dead:
-		case mbr.news.Gone:
+		case mbr.news.Ended:
 			ended = append(ended, mbr)
 		default:
 			rest = append(rest, mbr)
 		}
 	}
-	for _, mbr := range leastSent(rest, MaxNews-1) {
+	for _, mbr := range leastSent(rest, MaxUpdates-1) {
 		items = append(items, mbr.news)
 	}
 	for _, mbr := range leastSent(ended, MaxEnded) {
-		items = append(items, News{Who: mbr.news.Who, Status: Dead, Gone: true})
+		items = append(items, Update{ID: mbr.news.ID, Status: Dead, Ended: true})
 	}
 	return items
 }
@@ -541,7 +541,7 @@
 		if x.sends != y.sends {
 			return x.sends - y.sends
 		}
-		return compare(x.Who(), y.Who())
+		return compare(x.ID(), y.ID())
 	})
 	list = list[:min(len(list), most)]
 	for _, mbr := range list {
--- a/pkg/member/member_test.go
+++ b/pkg/member/member_test.go
@@ -39,8 +39,8 @@
 	lst := New(who, "dc1", who.Addr(), grp.now)
 	for oth, known := range grp.lists {
 		// A new instance probes the instances on the instance list.
-		lst.Learn(known.Gossip(who), grp.now)
-		grp.lists[oth].Learn(lst.Gossip(oth), grp.now)
+		lst.Merge(known.Updates(who), grp.now)
+		grp.lists[oth].Merge(lst.Updates(oth), grp.now)
 	}
 	grp.lists[who] = lst
 	return lst
@@ -53,12 +53,12 @@
 	if !ok || grp.drop(from, to) {
 		return false
 	}
-	target.Learn(grp.lists[from].Gossip(to), grp.now)
-	updates := target.Gossip(from)
+	target.Merge(grp.lists[from].Updates(to), grp.now)
+	updates := target.Updates(from)
 	if grp.drop(to, from) {
 		return false
 	}
-	grp.lists[from].Learn(updates, grp.now)
+	grp.lists[from].Merge(updates, grp.now)
 	grp.lists[from].Ack(to, grp.now)
 	return true
 }
@@ -123,10 +123,10 @@
 	grp.run(3 * clock.Second)
 	lst := grp.lists[name(0)]
 	old := name(1)
-	stale := grp.lists[old].Gossip("")
-	lst.Learn([]News{{Who: "10.0.0.1:1#b", Zone: "dc1", Seq: 1, Beat: 1}}, grp.now)
-	lst.Drop(old, grp.now)
-	lst.Learn(stale, grp.now)
+	stale := grp.lists[old].Updates("")
+	lst.Merge([]Update{{ID: "10.0.0.1:1#b", Zone: "dc1", Seq: 1, Beat: 1}}, grp.now)
+	lst.MarkReplaced(old, grp.now)
+	lst.Merge(stale, grp.now)
 	gom.Expect(lst.IsLive(old)).To(gomega.BeFalse())
 	gom.Expect(lst.IsLive("10.0.0.1:1#b")).To(gomega.BeTrue())
 }
@@ -140,20 +140,20 @@
 	gom := gomega.NewWithT(t)
 	const count = 71
 	grp := &group{now: 1000, lists: map[ident.Incarnation]*List{}, drop: func(_, _ ident.Incarnation) bool { return false }}
-	var updates []News
+	var updates []Update
 	for i := range count {
 		old := ident.Incarnation(fmt.Sprintf("10.0.0.%d:1#old", i))
-		updates = append(updates, News{Who: old, Seq: 1, Beat: 50}, News{Who: name(i), Seq: 1})
+		updates = append(updates, Update{ID: old, Seq: 1, Beat: 50}, Update{ID: name(i), Seq: 1})
 	}
 	for i := range count {
 		lst := New(name(i), "dc1", name(i).Addr(), grp.now)
-		lst.Learn(updates, grp.now)
+		lst.Merge(updates, grp.now)
 		grp.lists[name(i)] = lst
 	}
 	grp.run(40 * clock.Second)
 	for _, lst := range grp.lists {
 		gom.Expect(lst.All()).To(gomega.HaveLen(count))
-		gom.Expect(lst.Homes("pool")).To(gomega.Equal(grp.lists[name(0)].Homes("pool")))
+		gom.Expect(lst.Owners("pool")).To(gomega.Equal(grp.lists[name(0)].Owners("pool")))
 	}
 }
 
@@ -167,8 +167,8 @@
 		who := ident.Incarnation(fmt.Sprintf("10.0.0.%d:1#b", i))
 		lst := New(who, "dc1", who.Addr(), grp.now)
 		for _, seed := range []ident.Incarnation{name(count + i%(all-count)), name(count + (7*i+3)%(all-count))} {
-			lst.Learn(grp.lists[seed].Everybody(), grp.now)
-			grp.lists[seed].Learn(lst.Gossip(seed), grp.now)
+			lst.Merge(grp.lists[seed].AllUpdates(), grp.now)
+			grp.lists[seed].Merge(lst.Updates(seed), grp.now)
 		}
 		grp.lists[who] = lst
 	}
@@ -207,7 +207,7 @@
 	probes := 0
 	for now := clock.Milli(0); now < 60*clock.Second; now += 50 {
 		who := ident.Incarnation(fmt.Sprintf("b:%d#1", now))
-		lst.Learn([]News{{Who: who, Seq: 1}}, now)
+		lst.Merge([]Update{{ID: who, Seq: 1}}, now)
 		for _, act := range lst.Tick(now) {
 			if act.Kind == SendProbe {
 				lst.Ack(act.Target, now)
@@ -227,25 +227,25 @@
 	grp := newGroup(5)
 	grp.run(3 * clock.Second)
 	lst := grp.lists[name(0)]
-	gom.Expect(lst.Behind(1, 6*clock.Second, grp.now)).To(gomega.HaveLen(5))
+	gom.Expect(lst.Lagging(1, 6*clock.Second, grp.now)).To(gomega.HaveLen(5))
 	lst.SetSelf(1, 0, false, grp.now)
 	for i := 1; i <= 3; i++ {
-		lst.Learn([]News{{Who: name(i), Seq: 9, Beat: 999, Applied: 1}}, grp.now)
+		lst.Merge([]Update{{ID: name(i), Seq: 9, Beat: 999, Applied: 1}}, grp.now)
 	}
-	gom.Expect(lst.Behind(1, 6*clock.Second, grp.now)).To(gomega.ConsistOf(name(4)))
-	lst.Learn([]News{{Who: name(4), Seq: 9, Status: Dead}}, grp.now)
-	gom.Expect(lst.Behind(1, 6*clock.Second, grp.now)).To(gomega.ConsistOf(name(4)))
-	gom.Expect(lst.Behind(1, 6*clock.Second, grp.now+7*clock.Second)).To(gomega.BeEmpty())
+	gom.Expect(lst.Lagging(1, 6*clock.Second, grp.now)).To(gomega.ConsistOf(name(4)))
+	lst.Merge([]Update{{ID: name(4), Seq: 9, Status: Dead}}, grp.now)
+	gom.Expect(lst.Lagging(1, 6*clock.Second, grp.now)).To(gomega.ConsistOf(name(4)))
+	gom.Expect(lst.Lagging(1, 6*clock.Second, grp.now+7*clock.Second)).To(gomega.BeEmpty())
 
 	for i := 2; i <= 3; i++ {
-		lst.Learn([]News{{Who: name(i), Seq: 10, Status: Dead}}, grp.now)
+		lst.Merge([]Update{{ID: name(i), Seq: 10, Status: Dead}}, grp.now)
 	}
 	late := grp.now + 7*clock.Second
-	gom.Expect(lst.Behind(2, 6*clock.Second, late)).To(gomega.ContainElements(name(2), name(3), name(4)))
+	gom.Expect(lst.Lagging(2, 6*clock.Second, late)).To(gomega.ContainElements(name(2), name(3), name(4)))
 	for i := 2; i <= 4; i++ {
 		lst.Delist(name(i))
 	}
-	gom.Expect(lst.Behind(2, 6*clock.Second, late)).To(gomega.ConsistOf(name(0), name(1)))
+	gom.Expect(lst.Lagging(2, 6*clock.Second, late)).To(gomega.ConsistOf(name(0), name(1)))
 }
 
 // TestUpdatesAreMonotonic: in whatever order updates arrive, a member's applied offset
@@ -256,13 +256,13 @@
 		applied := int64(0)
 		gone := false
 		for range rapid.IntRange(1, 40).Draw(t, "items") {
-			item := News{
-				Who: "oth:1#a", Seq: rapid.Uint64Range(1, 5).Draw(t, "seq"), Beat: rapid.Uint64Range(0, 9).Draw(t, "beat"),
+			item := Update{
+				ID: "oth:1#a", Seq: rapid.Uint64Range(1, 5).Draw(t, "seq"), Beat: rapid.Uint64Range(0, 9).Draw(t, "beat"),
 				Applied: rapid.Int64Range(0, 9).Draw(t, "applied"), Status: Status(rapid.IntRange(int(Alive), int(Dead)).Draw(t, "status")),
 			}
-			lst.Learn([]News{item}, 2000)
+			lst.Merge([]Update{item}, 2000)
 			if rapid.IntRange(0, 9).Draw(t, "proof") == 0 {
-				lst.Drop("oth:1#a", 2000)
+				lst.MarkReplaced("oth:1#a", 2000)
 				gone = true
 			}
 			mbr, _ := lst.Find("oth:1#a")
--- a/pkg/member/owner_test.go
+++ b/pkg/member/owner_test.go
@@ -19,7 +19,7 @@
 		lst := New(self, "z", "", 0)
 		lst.SetCapacity(capacity[self])
 		for who, cores := range capacity {
-			lst.Learn([]News{{Who: who, Seq: 1, Beat: 1, Capacity: cores}}, 0)
+			lst.Merge([]Update{{ID: who, Seq: 1, Beat: 1, Capacity: cores}}, 0)
 		}
 		return lst
 	}
@@ -27,8 +27,8 @@
 	first := map[ident.Incarnation]int{}
 	for i := range 1000 {
 		name := fmt.Sprint(i)
-		homes := one.Homes(name)
-		gom.Expect(homes).To(gomega.Equal(two.Homes(name)))
+		homes := one.Owners(name)
+		gom.Expect(homes).To(gomega.Equal(two.Owners(name)))
 		gom.Expect(homes[3]).To(gomega.BeEquivalentTo("c#1"))
 		first[homes[0]]++
 	}
--- a/pkg/member/probe_test.go
+++ b/pkg/member/probe_test.go
@@ -20,22 +20,22 @@
 	gom := gomega.NewWithT(t)
 	lst := New("me#1", "z", "", 0)
 	for i := range 200 {
-		lst.Learn([]News{{Who: ident.Incarnation(fmt.Sprintf("10.0.0.%d:1#1", i)), Seq: 1, Beat: 1}}, 0)
+		lst.Merge([]Update{{ID: ident.Incarnation(fmt.Sprintf("10.0.0.%d:1#1", i)), Seq: 1, Beat: 1}}, 0)
 	}
-	first := lst.Homes("pool")[:5]
+	first := lst.Owners("pool")[:5]
 	gom.Expect(first).NotTo(gomega.ContainElement(ident.Incarnation("me#1")))
 	lst.nextProbeAt = clock.Minute // no regular probe is due
 	for _, who := range first {
-		act, ok := lst.Doubt(who, 1000)
+		act, ok := lst.RequestProbe(who, 1000)
 		gom.Expect(ok).To(gomega.BeTrue())
 		gom.Expect(act).To(gomega.Equal(Action{Kind: SendProbe, Target: who}))
-		_, again := lst.Doubt(who, 1001)
+		_, again := lst.RequestProbe(who, 1001)
 		gom.Expect(again).To(gomega.BeFalse(), "only one probe is sent")
 	}
 	lst.Ack(first[4], 1200)
 	lst.Tick(1000 + AckWait)
 	lst.Tick(1000 + Period)
-	gom.Expect(lst.Homes("pool")[0]).To(gomega.Equal(first[4]))
+	gom.Expect(lst.Owners("pool")[0]).To(gomega.Equal(first[4]))
 	for _, who := range first[:4] {
 		mbr, _ := lst.Find(who)
 		gom.Expect(mbr.Status()).To(gomega.Equal(Suspect))
@@ -50,12 +50,12 @@
 	gom := gomega.NewWithT(t)
 	learn := func(lst *List, boot string, hosts ...int) {
 		for _, host := range hosts {
-			lst.Learn([]News{{Who: ident.Incarnation(fmt.Sprintf("10.0.0.%d:1#%s", host, boot)), Seq: 1, Capacity: float64(1 + host%3)}}, 0)
+			lst.Merge([]Update{{ID: ident.Incarnation(fmt.Sprintf("10.0.0.%d:1#%s", host, boot)), Seq: 1, Capacity: float64(1 + host%3)}}, 0)
 		}
 	}
 	addrs := func(lst *List) []string {
 		var list []string
-		for _, who := range lst.Homes("pool") {
+		for _, who := range lst.Owners("pool") {
 			list = append(list, who.Addr())
 		}
 		return list
@@ -68,11 +68,11 @@
 	learn(two, "new", 1, 3, 4, 5)
 	gom.Expect(addrs(one)).To(gomega.HaveLen(5))
 	gom.Expect(addrs(one)).To(gomega.Equal(addrs(two)))
-	gom.Expect(one.Homes("pool")).To(gomega.ContainElement(one.Self()))
+	gom.Expect(one.Owners("pool")).To(gomega.ContainElement(one.Self()))
 
 	// The ends of the earlier processes arrive sooner than the new incarnations.
 	for _, host := range []string{"2", "3", "4", "5"} {
-		one.Learn([]News{{Who: ident.Incarnation("10.0.0." + host + ":1#old"), Gone: true}}, 1000)
+		one.Merge([]Update{{ID: ident.Incarnation("10.0.0." + host + ":1#old"), Ended: true}}, 1000)
 	}
 	one.Tick(1500)
 	gom.Expect(addrs(one)).To(gomega.Equal(addrs(two)))
--- a/pkg/member/slope_test.go
+++ b/pkg/member/slope_test.go
@@ -18,7 +18,7 @@
 		grp := newGroup(n)
 		for i := range n {
 			for j := range n {
-				grp.lists[name(i)].Learn([]News{{Who: name(j), Zone: "dc1", Caller: name(j).Addr(), Seq: 1}}, grp.now)
+				grp.lists[name(i)].Merge([]Update{{ID: name(j), Zone: "dc1", Caller: name(j).Addr(), Seq: 1}}, grp.now)
 			}
 		}
 		bytes := golden.HeapOf(func() any { return copyOf(grp, n) }) / int64(n)
@@ -30,7 +30,7 @@
 			_ = lst.All()
 		}
 		step := time.Since(began) / 100
-		raw, _ := cbor.Marshal(lst.Gossip(name(1)))
+		raw, _ := cbor.Marshal(lst.Updates(name(1)))
 		t.Logf("%d members: %d bytes a member, %v a step with a new view, %d bytes of updates in a message, all known to a publisher after %v (90 s at most)",
 			n, bytes, step, len(raw), propagation(grp))
 	}
@@ -40,7 +40,7 @@
 func copyOf(grp *group, n int) *List {
 	lst := New(name(0), "dc1", "a", grp.now)
 	for j := range n {
-		lst.Learn([]News{{Who: name(j), Zone: "dc1", Caller: string(name(j)), Seq: 1}}, grp.now)
+		lst.Merge([]Update{{ID: name(j), Zone: "dc1", Caller: string(name(j)), Seq: 1}}, grp.now)
 	}
 	return lst
 }
@@ -54,7 +54,7 @@
 	}
 	for grp.now-began < 90*clock.Second {
 		grp.runAt(50, 7)
-		if len(grp.lists[name(0)].Behind(7, 0, grp.now)) == 0 {
+		if len(grp.lists[name(0)].Lagging(7, 0, grp.now)) == 0 {
 			break
 		}
 	}
--- a/pkg/oplog/record.go
+++ b/pkg/oplog/record.go
@@ -27,9 +27,9 @@
 	KindOffer    = "offer"
 	KindSnapshot = "snapshot"
 	KindManifest = "manifest"
-	// KindWanted is a state request: the sender found records missing and no usable
+	// KindStateRequest is a state request: the sender found records missing and no usable
 	// manifest, and asks any instance with a state to append it.
-	KindWanted = "wanted"
+	KindStateRequest = "wanted"
 	// KindReset declares that no document is in force, since no instance answered the state
 	// request at offset AsOf.
 	KindReset = "reset"
--- a/pkg/oplog/registry.go
+++ b/pkg/oplog/registry.go
@@ -68,8 +68,8 @@
 // Detail describes why an offer was not accepted; it is meant for people.
 func (dec Decision) Detail() string { return dec.detail }
 
-// Held is a document in force with its revision.
-type Held struct {
+// DocVersion is a document in force with its revision.
+type DocVersion struct {
 	doc      *svcdoc.Document
 	text     string
 	revision int64
@@ -77,20 +77,20 @@
 }
 
 // Doc returns the checked document.
-func (hld Held) Doc() *svcdoc.Document { return hld.doc }
+func (hld DocVersion) Doc() *svcdoc.Document { return hld.doc }
 
 // Text returns the document as its owner wrote it.
-func (hld Held) Text() string { return hld.text }
+func (hld DocVersion) Text() string { return hld.text }
 
 // Revision returns the offset of the offer that introduced the document.
-func (hld Held) Revision() int64 { return hld.revision }
+func (hld DocVersion) Revision() int64 { return hld.revision }
 
 // Registry is the replicated state machine over the documents' stream. The zero value has
 // read nothing and expects offset 1. It is not safe for concurrent use; it is owned by the
 // control loop.
 type Registry struct {
 	applied    int64
-	docs       map[string]Held
+	docs       map[string]DocVersion
 	history    map[string][]Decision
 	recent     []Decision
 	boot       *bootstrap
@@ -119,14 +119,14 @@
 // ManifestAt returns the time of the last manifest, zero if there was none.
 func (reg *Registry) ManifestAt() clock.Milli { return reg.manifestAt }
 
-// Held returns the document in force of a service.
-func (reg *Registry) Held(service string) (Held, bool) {
+// Current returns the document in force of a service.
+func (reg *Registry) Current(service string) (DocVersion, bool) {
 	hld, ok := reg.docs[service]
 	return hld, ok
 }
 
 // All returns a copy of all documents in force, by service.
-func (reg *Registry) All() map[string]Held { return maps.Clone(reg.docs) }
+func (reg *Registry) All() map[string]DocVersion { return maps.Clone(reg.docs) }
 
 // History returns a service's last decisions, oldest first.
 func (reg *Registry) History(service string) []Decision {
@@ -179,7 +179,7 @@
 	case KindManifest:
 		reg.manifestAt = max(reg.manifestAt, rec.At)
 		reg.marker = rec.Offset
-	case KindWanted:
+	case KindStateRequest:
 		reg.stateRequest = rec.Offset
 	case KindReset:
 		reg.applyReset(rec, ent)
@@ -198,9 +198,9 @@
 	reg.marker = rec.Offset
 }
 
-// IsWanted reports whether a state request is unanswered: no manifest or reset has followed
+// StateRequested reports whether a state request is unanswered: no manifest or reset has followed
 // it.
-func (reg *Registry) IsWanted() bool { return reg.Ready() && reg.stateRequest > reg.marker }
+func (reg *Registry) StateRequested() bool { return reg.Ready() && reg.stateRequest > reg.marker }
 
 func (reg *Registry) applyOffer(rec Record, ent Entry) []Decision {
 	if _, seen := reg.Find(ent.ID); seen || ent.ID == "" {
@@ -210,7 +210,7 @@
 	doc, verdict, detail := reg.validate(ent)
 	dec.verdict, dec.detail = verdict, detail
 	if verdict == Accepted {
-		reg.put(ent.Service, Held{doc: doc, text: ent.Text, revision: rec.Offset, seenAt: rec.At})
+		reg.put(ent.Service, DocVersion{doc: doc, text: ent.Text, revision: rec.Offset, seenAt: rec.At})
 	}
 	reg.record(dec)
 	return []Decision{dec}
@@ -243,9 +243,9 @@
 	}
 }
 
-func (reg *Registry) put(service string, hld Held) {
+func (reg *Registry) put(service string, hld DocVersion) {
 	if reg.docs == nil {
-		reg.docs = map[string]Held{}
+		reg.docs = map[string]DocVersion{}
 	}
 	reg.docs[service] = hld
 }
--- a/pkg/oplog/registry_test.go
+++ b/pkg/oplog/registry_test.go
@@ -80,7 +80,7 @@
 		case 0, 1:
 			ents = rdr.Snapshot(clock.Milli(len(log)))
 		case 2:
-			ents = []Entry{{Kind: KindWanted}}
+			ents = []Entry{{Kind: KindStateRequest}}
 			wanted = append(wanted, int64(len(log)+1))
 		case 3:
 			// A reset may be late or repeated.
@@ -89,7 +89,7 @@
 			}
 		default:
 			service := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "service")
-			hld, _ := rdr.Held(service)
+			hld, _ := rdr.Current(service)
 			id := fmt.Sprintf("o%d", rapid.IntRange(0, i).Draw(t, "id"))
 			ents = []Entry{{Kind: KindOffer, ID: id, Service: service, Base: hld.Revision(), Text: text(service, id), By: "op"}}
 		}
@@ -156,7 +156,7 @@
 				t.Fatalf("applied fell from %d to %d", applied, reg.Applied())
 			}
 			for service, hld := range held {
-				now, ok := reg.Held(service)
+				now, ok := reg.Current(service)
 				if !ok && !resets || ok && now.Revision() < hld.Revision() {
 					t.Fatalf("%s reverted from %d to %d", service, hld.Revision(), now.Revision())
 				}
@@ -171,8 +171,8 @@
 	var reg Registry
 	put := func(offset int64, ent Entry) { reg.Apply([]Record{{Offset: offset, At: 1, Body: ent.Encode()}}) }
 	put(1, Entry{Kind: KindOffer, ID: "o", Service: "a", Text: text("a", "x")})
-	put(2, Entry{Kind: KindWanted})
-	if !reg.IsWanted() {
+	put(2, Entry{Kind: KindStateRequest})
+	if !reg.StateRequested() {
 		t.Fatal("the state request is not pending")
 	}
 	for i, ent := range reg.Snapshot(10) {
@@ -180,7 +180,7 @@
 	}
 	put(reg.Next(), Entry{Kind: KindReset, AsOf: 2})
 	put(reg.Next(), Entry{Kind: KindReset, AsOf: 2})
-	if _, ok := reg.Held("a"); !ok || reg.IsWanted() {
+	if _, ok := reg.Current("a"); !ok || reg.StateRequested() {
 		t.Fatal("a late reset dropped a document")
 	}
 }
--- a/pkg/oplog/snapshot.go
+++ b/pkg/oplog/snapshot.go
@@ -52,7 +52,7 @@
 			return reg.adopt(rec, ent)
 		}
 		bst.marker = rec.Offset
-	case KindWanted:
+	case KindStateRequest:
 		bst.stateRequest = rec.Offset
 	case KindReset:
 		if ent.AsOf >= bst.start && ent.AsOf > bst.marker {
@@ -64,9 +64,9 @@
 	return nil
 }
 
-// Asked returns the offset of the last unanswered state request during a restart; zero if
+// PendingStateRequest returns the offset of the last unanswered state request during a restart; zero if
 // there is none.
-func (reg *Registry) Asked() int64 {
+func (reg *Registry) PendingStateRequest() int64 {
 	if reg.boot == nil || reg.boot.stateRequest <= reg.boot.marker {
 		return 0
 	}
@@ -149,7 +149,7 @@
 func (reg *Registry) load(st State) {
 	reg.boot = nil
 	reg.applied, reg.marker = st.Applied, st.Marker
-	reg.docs = map[string]Held{}
+	reg.docs = map[string]DocVersion{}
 	for _, sdoc := range st.Docs {
 		doc, _ := svcdoc.Parse([]byte(sdoc.Text))
 		if doc == nil {
@@ -158,7 +158,7 @@
 			// only the supported part is not.
 			continue
 		}
-		reg.docs[sdoc.Service] = Held{doc: doc, text: sdoc.Text, revision: sdoc.Revision, seenAt: sdoc.SeenAt}
+		reg.docs[sdoc.Service] = DocVersion{doc: doc, text: sdoc.Text, revision: sdoc.Revision, seenAt: sdoc.SeenAt}
 	}
 	reg.recent = nil
 	for _, id := range st.Tail {
--- a/pkg/outcm/doc.go
+++ b/pkg/outcm/doc.go
@@ -4,7 +4,7 @@
 //
 //   - done: the request ran and this is its whole answer.
 //   - not_run: no stage with an effect ran for this request, and none will.
-//     It applies to the request and not to one attempt, see [Result.Seal].
+//     It applies to the request and not to one attempt, see [Result.QualifyRefusal].
 //   - unknown: the request may or may not have run; it will not be run again.
 //   - failed: a stage reported an error or the deadline passed; only
 //     idempotent work was done.
--- a/pkg/outcm/outcm_test.go
+++ b/pkg/outcm/outcm_test.go
@@ -21,11 +21,11 @@
 	}
 }
 
-func ExampleResult_Seal() {
+func ExampleResult_QualifyRefusal() {
 	res := Refuse(QueueFull, 200, "too many requests")
-	fmt.Println(res.Seal(true, false).Outcome(), "for a key that was never sent before")
-	fmt.Println(res.Seal(false, true).Outcome(), "for one that was looked up")
-	fmt.Println(res.Seal(false, false).Outcome(), "for any other")
+	fmt.Println(res.QualifyRefusal(true, false).Outcome(), "for a key that was never sent before")
+	fmt.Println(res.QualifyRefusal(false, true).Outcome(), "for one that was looked up")
+	fmt.Println(res.QualifyRefusal(false, false).Outcome(), "for any other")
 	// Output:
 	// not_run for a key that was never sent before
 	// not_run for one that was looked up
--- a/pkg/svcdoc/check.go
+++ b/pkg/svcdoc/check.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"amaranthvalve/internal/place"
+	"amaranthvalve/internal/tomlx"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/graph"
 )
@@ -42,7 +42,7 @@
 var nameRule = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
 type checker struct {
-	fts *place.Faults
+	fts *tomlx.Faults
 	doc *Document
 }
 
@@ -67,13 +67,13 @@
 // defaults sets the keys that the document omits; an explicit zero stays and is checked.
 func (chk *checker) defaults() {
 	raw := &chk.doc.raw
-	if !chk.fts.Has("priority") {
+	if !chk.fts.IsSet("priority") {
 		raw.Priority = defaultPriority
 	}
-	if !chk.fts.Has("deadline_ms") {
+	if !chk.fts.IsSet("deadline_ms") {
 		raw.DeadlineMs = int64(defaultDeadline)
 	}
-	if !chk.fts.Has("key_life_ms") {
+	if !chk.fts.IsSet("key_life_ms") {
 		raw.KeyLifeMs = int64(max(defaultKeyLife, clock.Milli(raw.DeadlineMs)))
 	}
 }
@@ -144,7 +144,7 @@
 // after returns the indices of the stages whose results a stage takes.
 func (chk *checker) after(i int) []int {
 	path := fmt.Sprintf("stage[%d].after", i)
-	if !chk.fts.Has(path) {
+	if !chk.fts.IsSet(path) {
 		if i == 0 {
 			return nil
 		}
@@ -180,7 +180,7 @@
 	}
 	seen[stg.Name] = true
 	chk.name(path+".pool", stg.Pool)
-	if !chk.fts.Has(path + ".need_ms") {
+	if !chk.fts.IsSet(path + ".need_ms") {
 		stg.NeedMs = int64(defaultEstimate)
 	}
 	chk.span(path+".need_ms", stg.NeedMs, MaxDeadline)
@@ -254,16 +254,16 @@
 }
 
 func (chk *checker) limits(path string, wsp *rawWorkspace) {
-	if !chk.fts.Has(path + ".requests_per_second") {
+	if !chk.fts.IsSet(path + ".requests_per_second") {
 		wsp.RequestsPerSecond = defaultRate
 	}
-	if !chk.fts.Has(path + ".burst") {
+	if !chk.fts.IsSet(path + ".burst") {
 		wsp.Burst = max(1, int(wsp.RequestsPerSecond))
 	}
-	if !chk.fts.Has(path + ".in_flight") {
+	if !chk.fts.IsSet(path + ".in_flight") {
 		wsp.InFlight = defaultInFlight
 	}
-	if !chk.fts.Has(path + ".share") {
+	if !chk.fts.IsSet(path + ".share") {
 		wsp.Share = 1
 	}
 	if wsp.RequestsPerSecond <= 0 {
--- a/pkg/svcdoc/doc.go
+++ b/pkg/svcdoc/doc.go
@@ -21,7 +21,7 @@
 //
 // # Checks
 //
-// [Parse] reports all faults with path and line, see package place. A document with faults
+// [Parse] reports all faults with path and line, see package tomlx. A document with faults
 // is never accepted: the command, the instance that receives it and the state machine over
 // the log all call the same function, so that no instance can hold a document that another
 // one refuses. Warnings report what is legal but probably wrong; they do not prevent
--- a/pkg/svcdoc/svcdoc.go
+++ b/pkg/svcdoc/svcdoc.go
@@ -1,7 +1,7 @@
 package svcdoc
 
 import (
-	"amaranthvalve/internal/place"
+	"amaranthvalve/internal/tomlx"
 	"amaranthvalve/pkg/clock"
 	"amaranthvalve/pkg/graph"
 )
@@ -118,9 +118,9 @@
 // is ordered.
 func (stg Stage) Model() string { return stg.raw.Model }
 
-// Need returns the owner's initial estimate of the stage's service time, used until it has
+// Estimate returns the owner's initial estimate of the stage's service time, used until it has
 // been measured.
-func (stg Stage) Need() clock.Milli { return clock.Milli(stg.raw.NeedMs) }
+func (stg Stage) Estimate() clock.Milli { return clock.Milli(stg.raw.NeedMs) }
 
 // NonIdempotent reports whether the stage must not run twice for one request.
 func (stg Stage) NonIdempotent() bool {
@@ -171,15 +171,15 @@
 
 // Parse parses and checks a document. The document is nil if and only if the list has
 // failed; warnings are returned along with a document.
-func Parse(text []byte) (*Document, *place.Faults) {
+func Parse(text []byte) (*Document, *tomlx.Faults) {
 	doc := &Document{}
-	fts := place.Decode(text, &doc.raw)
-	if fts.Failed() {
+	fts := tomlx.Decode(text, &doc.raw)
+	if fts.HasErrors() {
 		return nil, fts
 	}
 	chk := checker{fts: fts, doc: doc}
 	chk.run()
-	if fts.Failed() {
+	if fts.HasErrors() {
 		return nil, fts
 	}
 	return doc, fts
--- a/pkg/svcdoc/svcdoc_test.go
+++ b/pkg/svcdoc/svcdoc_test.go
@@ -54,8 +54,8 @@
 			raw[at] = rapid.Byte().Draw(t, "byte")
 		}
 		doc, fts := Parse(raw)
-		if (doc == nil) != fts.Failed() {
-			t.Fatalf("document %v, failed %t", doc, fts.Failed())
+		if (doc == nil) != fts.HasErrors() {
+			t.Fatalf("document %v, failed %t", doc, fts.HasErrors())
 		}
 	})
 }
