--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -15,107 +15,107 @@
 )
 
 const (
-	deadline = 3000 * time.Millisecond
-	// patience is how long a caller waits beyond its deadline: an answer that
-	// takes longer is a broken promise.
-	patience = 1500 * time.Millisecond
-	// longDeadline is longer than the longest answer with its stages; one caller's
-	// request in hurriedOf has a deadline between leastDeadline and the usual one,
-	// whatever its answer takes.
-	longDeadline  = 9 * time.Second
-	leastDeadline = time.Second
-	hurriedOf     = 4
-	// One request in openedOf goes over a connection that was opened up to mostOpened
-	// before: nothing was sent on it when a stop began.
-	openedOf   = 4
-	mostOpened = 900 * time.Millisecond
-	// keptLonger times as long as told is how long some callers keep addresses.
-	keptLonger = 3
+	defaultDeadline = 3000 * time.Millisecond
+	// answerGrace is how long a caller waits beyond its deadline. A later answer is a violation.
+	answerGrace = 1500 * time.Millisecond
+	// Where answers are of varied length, deadlines are longDeadline, which exceeds the longest
+	// answer including its stages. One request in shortDeadlineOneIn has a deadline between
+	// minDeadline and defaultDeadline, however long its answer takes.
+	longDeadline       = 9 * time.Second
+	minDeadline        = time.Second
+	shortDeadlineOneIn = 4
+	// One request in preopenedOneIn is sent on a connection opened up to maxPreopenAge earlier:
+	// such a connection has carried no request when a shutdown begins.
+	preopenedOneIn = 4
+	maxPreopenAge  = 900 * time.Millisecond
+	// Some callers cache addresses for staleTTLFactor times the TTL of the entries.
+	staleTTLFactor = 3
 )
 
-// kind is a kind of request.
-type kind struct {
+// requestKind is a route with the properties of its requests.
+type requestKind struct {
 	route  string
 	method string
-	// once tells that it may run once at most, stream that it is answered by events.
-	once   bool
-	stream bool
-	pieces string
+	// atMostOnce requests may run once at most; stream requests are answered by events.
+	atMostOnce bool
+	stream     bool
+	items      string
 }
 
-var kinds = []kind{
-	{route: "booking", method: http.MethodPost, once: true},
+var requestKinds = []requestKind{
+	{route: "booking", method: http.MethodPost, atMostOnce: true},
 	{route: "log", method: http.MethodGet},
 	{route: "stream", method: http.MethodPost, stream: true},
-	{route: "stream-once", method: http.MethodPost, stream: true, once: true},
-	{route: "stream-staged", method: http.MethodPost, stream: true, once: true, pieces: "2,3"},
+	{route: "stream-once", method: http.MethodPost, stream: true, atMostOnce: true},
+	{route: "stream-staged", method: http.MethodPost, stream: true, atMostOnce: true, items: "2,3"},
 }
 
-// wholeStream is what a stream's caller gets.
-const wholeStream = "id: 1\ndata: token 1\n\nid: 2\ndata: token 2\n\nid: 3\ndata: token 3\n\nid: 4\ndata: token 4\n\n"
+// fullStream is the complete body of a streamed answer.
+const fullStream = "id: 1\ndata: token 1\n\nid: 2\ndata: token 2\n\nid: 3\ndata: token 3\n\nid: 4\ndata: token 4\n\n"
 
 // attempt is one request as its caller saw it.
 type attempt struct {
-	kind
-	id     string
-	path   string
-	body   string
-	key    string
-	number int
-	ins    *instance
-	life   int
-	// lasts is how long the answer takes at an endpoint, zero for next to nothing.
-	lasts    time.Duration
-	deadline time.Duration
-	sent     time.Time
-	ended    time.Time
-	// runs is how many endpoints ran it.
+	requestKind
+	id          string
+	path        string
+	body        string
+	key         string
+	version     int
+	ins         *instance
+	incarnation int
+	// answerTime is how long an endpoint takes to answer; zero stands for the usual few
+	// milliseconds.
+	answerTime time.Duration
+	deadline   time.Duration
+	sent       time.Time
+	ended      time.Time
+	// runs is the number of executions at endpoints.
 	runs int
-	// from is the caller's end of the connection that it was sent on, dialled when that
-	// was opened.
-	from    string
-	dialled time.Time
-	// calm tells that nothing was done to the instance around the attempt, quiet
-	// that nothing was from a while before it to its end, in which the process may
-	// have ended.
-	calm   bool
-	quiet  bool
-	status int
-	header http.Header
-	answer string
-	err    error
+	// localAddr is the local address of the connection on which the request was sent, dialedAt
+	// the time at which that connection was opened.
+	localAddr string
+	dialedAt  time.Time
+	// steady reports that the instance was neither disturbed nor restarted around the attempt;
+	// undisturbed that it was not disturbed from settleTime before the attempt to its end, though
+	// its process may have ended.
+	steady      bool
+	undisturbed bool
+	status      int
+	header      http.Header
+	answer      string
+	err         error
 }
 
-// caller asks for addresses and sends requests until the run is over.
+// caller fetches addresses and sends requests until the run is over.
 type caller struct {
-	wld  *world
+	sr   *soakRun
 	name string
 	rng  *rand.Rand
 	cli  *http.Client
 	n    int
 }
 
-func (wld *world) newCaller(n int) *caller {
+func (sr *soakRun) newCaller(n int) *caller {
 	trn := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 2}
 	trn.DialContext = func(ctx context.Context, _, addr string) (net.Conn, error) {
-		// Callers come through the proxy before the instance that they know.
-		for _, ins := range wld.insts {
-			if ins.calls == addr {
-				addr = ins.front.addr()
+		// Callers know the address of the instance and connect to the proxy in front of it.
+		for _, ins := range sr.insts {
+			if ins.callerAddr == addr {
+				addr = ins.frontProxy.addr()
 			}
 		}
 		return dial(ctx, addr)
 	}
 	return &caller{
-		wld: wld, name: fmt.Sprintf("c%d", n), rng: rand.New(rand.NewPCG(wld.seed, uint64(n+100))),
+		sr: sr, name: fmt.Sprintf("c%d", n), rng: rand.New(rand.NewPCG(sr.seed, uint64(n+100))),
 		cli: &http.Client{Transport: trn},
 	}
 }
 
-// dialled is a connection that knows when it was opened.
-type dialled struct {
+// timedConn is a connection with the time at which it was opened.
+type timedConn struct {
 	net.Conn
-	at time.Time
+	openedAt time.Time
 }
 
 func dial(ctx context.Context, addr string) (net.Conn, error) {
@@ -124,156 +124,157 @@
 	if err != nil {
 		return nil, err
 	}
-	return &dialled{Conn: con, at: time.Now()}, nil
+	return &timedConn{Conn: con, openedAt: time.Now()}, nil
 }
 
-// run keeps asking until the context ends. Some callers keep addresses for longer
-// than they were told.
+// run sends requests until the context ends. Some callers cache addresses for longer than the
+// TTL.
 func (clr *caller) run(ctx context.Context) {
-	keep := clr.wld.trm.keep
+	ttl := clr.sr.params.entryTTL
 	if clr.rng.IntN(2) == 0 {
-		keep *= keptLonger
+		ttl *= staleTTLFactor
 	}
 	var addrs []string
 	var until time.Time
 	for ctx.Err() == nil {
 		if time.Now().After(until) {
-			if list := clr.ask(); list != nil {
-				addrs, until = list, time.Now().Add(keep)
+			if list := clr.fetchAddresses(); list != nil {
+				addrs, until = list, time.Now().Add(ttl)
 			}
 		}
 		if len(addrs) > 0 {
-			clr.send(clr.instance(addrs[clr.rng.IntN(len(addrs))]), kinds[clr.rng.IntN(len(kinds))])
+			clr.send(clr.instanceAt(addrs[clr.rng.IntN(len(addrs))]), requestKinds[clr.rng.IntN(len(requestKinds))])
 		}
 		time.Sleep(time.Duration(5+clr.rng.IntN(20)) * time.Millisecond)
 	}
 	clr.cli.CloseIdleConnections()
 }
 
-// stay goes on asking one instance until it can't be reached, then another one.
-func (clr *caller) stay(ctx context.Context) {
+// runSticky sends requests to one instance until it is unreachable, then to another one.
+func (clr *caller) runSticky(ctx context.Context) {
 	for ctx.Err() == nil {
-		ins := clr.wld.insts[clr.rng.IntN(len(clr.wld.insts))]
+		ins := clr.sr.insts[clr.rng.IntN(len(clr.sr.insts))]
 		for reached := true; reached && ctx.Err() == nil; {
-			knd, kept := kinds[clr.rng.IntN(len(kinds))], clr.cli
-			if clr.rng.IntN(openedOf) == 0 {
-				clr.opened(ins)
+			knd, savedClient := requestKinds[clr.rng.IntN(len(requestKinds))], clr.cli
+			if clr.rng.IntN(preopenedOneIn) == 0 {
+				clr.preopen(ins)
 			}
 			reached = clr.send(ins, knd).status > 0
-			clr.cli = kept
+			clr.cli = savedClient
 			time.Sleep(time.Duration(20+clr.rng.IntN(80)) * time.Millisecond)
 		}
 	}
 	clr.cli.CloseIdleConnections()
 }
 
-// opened makes the next request go over a connection that was opened some time before it.
-func (clr *caller) opened(ins *instance) {
-	con, err := dial(context.Background(), ins.front.addr())
+// preopen makes the next request use a connection that was opened some time before.
+func (clr *caller) preopen(ins *instance) {
+	con, err := dial(context.Background(), ins.frontProxy.addr())
 	if err != nil {
 		return
 	}
-	time.Sleep(between(clr.rng, 0, mostOpened))
+	time.Sleep(drawBetween(clr.rng, 0, maxPreopenAge))
 	trn := &http.Transport{DisableCompression: true, DisableKeepAlives: true}
 	trn.DialContext = func(context.Context, string, string) (net.Conn, error) { return con, nil }
 	clr.cli = &http.Client{Transport: trn}
 }
 
-// ask asks up to three instances which addresses to use.
-func (clr *caller) ask() []string {
+// fetchAddresses queries up to three instances for the addresses to use.
+func (clr *caller) fetchAddresses() []string {
 	cli := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for range 3 {
-		if list := fake.Addresses(cli, clr.wld.insts[clr.rng.IntN(len(clr.wld.insts))].entries); len(list) > 0 {
+		if list := fake.Addresses(cli, clr.sr.insts[clr.rng.IntN(len(clr.sr.insts))].entriesAddr); len(list) > 0 {
 			return list
 		}
 	}
 	return nil
 }
 
-func (clr *caller) instance(addr string) *instance {
-	for _, ins := range clr.wld.insts {
-		if ins.calls == addr {
+func (clr *caller) instanceAt(addr string) *instance {
+	for _, ins := range clr.sr.insts {
+		if ins.callerAddr == addr {
 			return ins
 		}
 	}
-	clr.wld.breaks("an address was named that is no instance's: %s", addr)
-	return clr.wld.insts[0]
+	clr.sr.violation("address %s in an entry belongs to no instance", addr)
+	return clr.sr.insts[0]
 }
 
-// probe asks now and then for a route that only the newest or the version before has.
-func (clr *caller) probe(ctx context.Context) {
+// runVersionProbe repeatedly requests a route that only the latest or the previous version of the
+// document has.
+func (clr *caller) runVersionProbe(ctx context.Context) {
 	for ctx.Err() == nil {
-		number, _ := clr.wld.newest()
-		number = max(1, number-clr.rng.IntN(2))
-		clr.sendTo(clr.wld.insts[clr.rng.IntN(len(clr.wld.insts))], kind{route: routeOf(number), method: http.MethodGet}, mainKey, number)
+		version, _ := clr.sr.latest()
+		version = max(1, version-clr.rng.IntN(2))
+		clr.sendQuick(clr.sr.insts[clr.rng.IntN(len(clr.sr.insts))], requestKind{route: versionRoute(version), method: http.MethodGet}, permanentKey, version)
 		time.Sleep(25 * time.Millisecond)
 	}
 }
 
-func (clr *caller) send(ins *instance, knd kind) *attempt {
-	_, key := clr.wld.newest()
+func (clr *caller) send(ins *instance, knd requestKind) *attempt {
+	_, key := clr.sr.latest()
 	if clr.rng.IntN(2) == 0 {
-		key = mainKey
+		key = permanentKey
 	}
-	att := &attempt{kind: knd, key: key, ins: ins, deadline: deadline}
-	if clr.wld.trm.varied {
-		att.lasts, att.deadline = clr.wld.trm.lasts(clr.rng), longDeadline
-		if clr.rng.IntN(hurriedOf) == 0 {
-			att.deadline = between(clr.rng, leastDeadline, deadline)
+	att := &attempt{requestKind: knd, key: key, ins: ins, deadline: defaultDeadline}
+	if clr.sr.params.variedAnswers {
+		att.answerTime, att.deadline = clr.sr.params.drawAnswerTime(clr.rng), longDeadline
+		if clr.rng.IntN(shortDeadlineOneIn) == 0 {
+			att.deadline = drawBetween(clr.rng, minDeadline, defaultDeadline)
 		}
 	}
 	return clr.do(att)
 }
 
-// sendTo sends one request whose answer takes next to nothing, and judges it.
-func (clr *caller) sendTo(ins *instance, knd kind, key string, number int) *attempt {
-	return clr.do(&attempt{kind: knd, key: key, number: number, ins: ins, deadline: deadline})
+// sendQuick sends one request whose answer takes a few milliseconds, and checks the answer.
+func (clr *caller) sendQuick(ins *instance, knd requestKind, key string, version int) *attempt {
+	return clr.do(&attempt{requestKind: knd, key: key, version: version, ins: ins, deadline: defaultDeadline})
 }
 
-// do sends one request and judges its answer.
+// do sends one request and checks its answer.
 func (clr *caller) do(att *attempt) *attempt {
 	clr.n++
 	att.id, att.path, att.sent = fmt.Sprintf("%s-%d", clr.name, clr.n), "/"+att.route+"/x?n="+strconv.Itoa(clr.n), time.Now()
-	ins, knd := att.ins, att.kind
+	ins, knd := att.ins, att.requestKind
 	switch {
 	case att.body != "":
-		// The same request again, under another name.
+		// The same request again, under another ID.
 		att.path = "/" + att.route + "/x?n=same"
 	case knd.method == http.MethodPost:
 		att.body = "body of " + att.id
 	}
 	headers := map[string]string{}
-	if knd.pieces != "" {
-		headers[fake.HeaderPieces], headers[fake.HeaderPieceKey] = knd.pieces, "pk-"+att.id
+	if knd.items != "" {
+		headers[fake.HeaderPieces], headers[fake.HeaderPieceKey] = knd.items, "pk-"+att.id
 	}
-	att.life, _, _ = ins.standing()
-	calm := ins.calm(att.sent)
-	clr.wld.mtx.Lock()
-	clr.wld.attempts[att.id] = att
-	clr.wld.order = append(clr.wld.order, att)
-	clr.wld.mtx.Unlock()
-	req, err := fake.Request(knd.method, ins.calls, att.path, host, att.id, strconv.FormatInt(att.deadline.Milliseconds(), 10), att.key, att.body, headers)
+	att.incarnation, _, _ = ins.processState()
+	steady := ins.steady(att.sent)
+	clr.sr.mtx.Lock()
+	clr.sr.attempts[att.id] = att
+	clr.sr.order = append(clr.sr.order, att)
+	clr.sr.mtx.Unlock()
+	req, err := fake.Request(knd.method, ins.callerAddr, att.path, host, att.id, strconv.FormatInt(att.deadline.Milliseconds(), 10), att.key, att.body, headers)
 	if err != nil {
 		panic(err)
 	}
-	// The library repeats what it can rewind; each attempt is to be one request.
+	// net/http repeats requests whose body it can rewind; an attempt is a single request.
 	req.GetBody = nil
-	clr.take(att, req)
-	life, _, _ := ins.standing()
+	clr.roundTrip(att, req)
+	incarnation, _, _ := ins.processState()
 	att.ended = time.Now()
-	att.quiet = calm && ins.quiet(att.sent)
-	// A long wait outlasts the time for which a trouble counts.
-	att.calm = calm && life == att.life && ins.calm(att.ended) && (att.lasts == 0 || att.quiet)
-	clr.wld.judge(att)
+	att.undisturbed = steady && ins.undisturbed(att.sent)
+	// A long answer takes longer than settleTime, after which a fault does not count any more.
+	att.steady = steady && incarnation == att.incarnation && ins.steady(att.ended) && (att.answerTime == 0 || att.undisturbed)
+	clr.sr.check(att)
 	return att
 }
 
-func (clr *caller) take(att *attempt, req *http.Request) {
-	ctx, cancel := context.WithTimeout(context.Background(), att.deadline+patience)
+func (clr *caller) roundTrip(att *attempt, req *http.Request) {
+	ctx, cancel := context.WithTimeout(context.Background(), att.deadline+answerGrace)
 	defer cancel()
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(inf httptrace.GotConnInfo) {
-			att.from, att.dialled = inf.Conn.LocalAddr().String(), inf.Conn.(*dialled).at
+			att.localAddr, att.dialedAt = inf.Conn.LocalAddr().String(), inf.Conn.(*timedConn).openedAt
 		},
 	})
 	res, err := clr.cli.Do(req.WithContext(ctx))
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,25 +1,27 @@
-// Package soak plays drawn days of trouble over the real programs and holds the
-// product's promises against what callers and endpoints see. It is a test and no part
-// of a deployment; docs/SOAK.md tells how to run it.
+// Package soak runs the real programs under randomly drawn faults and checks the
+// guarantees of the product against what callers and endpoints observe. It is a test and
+// no part of a deployment; docs/SOAK.md describes how to run it.
 //
-// # What runs
+// # Processes
 //
-// Instances are processes of the daemon, each with sockets, settings file and signals
-// of its own. The store and the endpoints are the stand-ins of the platform, in the
-// test's process. Between an instance and the store, between instances and each
-// endpoint, and between callers and each instance stands a proxy on loopback that
-// delays, resets, silences and cuts one way.
+// Instances are processes of the daemon, each with its own sockets, settings file and
+// signals. The store and the endpoints are the platform's stand-ins, in the process of the
+// test. Proxies on loopback stand between each instance and the store, between instances
+// and each endpoint, between the instances themselves, and between callers and each
+// instance. They delay and reset connections, and block one direction or both.
 //
-// # What is drawn
+// # Drawn faults
 //
-// A seed gives a row of faults, each with its instant, length and target; they come in
-// series and overlap. Callers keep asking all the while, and keep their connections
-// until the process behind them is gone. In half of the runs answers are of varied
-// length, some longer than a planned stop has time, and most faults are planned stops.
+// A seed determines a sequence of faults, each with a start, a duration and a target; they
+// come in series and overlap. Callers send requests throughout, and keep their connections
+// until the process behind them has ended. In half of the runs answers are of varied
+// length, some longer than the time-out of a planned shutdown, and most faults are planned
+// shutdowns.
 //
-// # What is judged
+// # Checks
 //
-// Only what callers received and what endpoints ran. Promises that hold for an instance
-// whose surroundings are well are judged only while nothing was done to it or its store
-// for a while; promises without such a condition are judged always.
+// The checks rely on what callers received and what endpoints ran, and on the ends and
+// logs of the processes. Guarantees that hold for an instance in undisturbed surroundings
+// are checked only while there was no fault at it or its store for a while; the others are
+// checked always.
 package soak
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -11,63 +11,63 @@
 	"amaranthvalve/platform/fake"
 )
 
-// Bounds of what is drawn.
+// Bounds of the drawn durations of faults and of the gaps between faults.
 const (
-	leastFault = 300 * time.Millisecond
-	mostFault  = 3500 * time.Millisecond
-	leastGap   = 100 * time.Millisecond
-	mostGap    = 1500 * time.Millisecond
-	// lapseFor is how long the entry of an endpoint that died stays.
-	lapseFor = 3600 * time.Millisecond
-	// servesOn is how long a leaving endpoint goes on serving.
-	servesOn = 4 * time.Second
+	minFaultDuration = 300 * time.Millisecond
+	maxFaultDuration = 3500 * time.Millisecond
+	minGap           = 100 * time.Millisecond
+	maxGap           = 1500 * time.Millisecond
+	// entryExpiry is how long the entry of a crashed endpoint remains in the store.
+	entryExpiry = 3600 * time.Millisecond
+	// drainTime is how long a leaving endpoint continues to serve.
+	drainTime = 4 * time.Second
 )
 
-// trouble is one kind of fault: it lasts until it returns. New kinds go to the end of the
-// list, so that kept seeds draw what they drew.
-type trouble struct {
-	name string
-	play func(wld *world)
+// faultKind is a kind of fault; inject returns when the fault has ended. New kinds go to the end
+// of the list, so that recorded seeds draw the same faults.
+type faultKind struct {
+	name   string
+	inject func(sr *soakRun)
 }
 
-var troubles = []trouble{
-	{"kill", (*world).kill},
-	{"planned stop", (*world).plannedStop},
-	{"freeze", (*world).freeze},
-	{"settings", (*world).changeSettings},
-	{"store", (*world).storeFault},
-	{"way to the store", (*world).storeWay},
-	{"way to an endpoint", (*world).endpointWay},
-	{"way to an instance", (*world).frontWay},
-	{"endpoint", (*world).endpointFaults},
-	{"endpoint dies", (*world).endpointDies},
-	{"endpoint leaves", (*world).endpointLeaves},
-	{"document", func(wld *world) { wld.publish(false) }},
-	{"key taken away", func(wld *world) { wld.publish(true) }},
-	{"herd kill", (*world).herdKill},
-	{"way between instances", (*world).peerWay},
-	{"stops one after the other", (*world).rollingStop},
-	{"request that ends endpoints", (*world).deadlyRequest},
-	{"endpoint names a rate", (*world).namesRate},
+var faultKinds = []faultKind{
+	{"kill", (*soakRun).killInstance},
+	{"planned stop", (*soakRun).plannedShutdown},
+	{"freeze", (*soakRun).freezeInstance},
+	{"settings", (*soakRun).reloadSettings},
+	{"store", (*soakRun).storeFault},
+	{"way to the store", (*soakRun).storeProxyFault},
+	{"way to an endpoint", (*soakRun).endpointProxyFault},
+	{"way to an instance", (*soakRun).frontProxyFault},
+	{"endpoint", (*soakRun).endpointFaults},
+	{"endpoint dies", (*soakRun).endpointCrash},
+	{"endpoint leaves", (*soakRun).endpointDrain},
+	{"document", func(sr *soakRun) { sr.publish(false) }},
+	{"key taken away", func(sr *soakRun) { sr.publish(true) }},
+	{"herd kill", (*soakRun).killAllInstances},
+	{"way between instances", (*soakRun).peerProxyFault},
+	{"stops one after the other", (*soakRun).rollingShutdown},
+	{"request that ends endpoints", (*soakRun).sendPoison},
+	{"endpoint names a rate", (*soakRun).declareRate},
 }
 
-// withStops is the number of kinds from which on runs may have answers of varied length.
-// One trouble in stopsOf is drawn from all kinds in such a run; the others are planned stops.
+// Runs that draw from at least variedFromKinds kinds may have answers of varied length. In such a
+// run one fault in anyFaultOneIn is drawn from all kinds; the others are planned shutdowns.
 const (
-	withStops = 16
-	stopsOf   = 4
+	variedFromKinds = 16
+	anyFaultOneIn   = 4
 )
 
-// play inflicts series of troubles, which overlap, until the context ends, and waits
-// for their ends.
-func (wld *world) play(ctx context.Context, log func(format string, args ...any)) {
+// inject injects overlapping series of faults until the context ends, and waits for the faults to
+// end.
+func (sr *soakRun) inject(ctx context.Context, log func(format string, args ...any)) {
 	var wgr sync.WaitGroup
-	began := time.Now()
+	start := time.Now()
 	for ctx.Err() == nil {
-		trb := wld.trouble()
-		times := 1 + wld.draw(3)
-		gap := wld.span(leastGap, mostGap)
-		log("%6d ms: %s, %d times, %v apart", time.Since(began).Milliseconds(), trb.name, times, gap)
+		flt := sr.drawFault()
+		times := 1 + sr.drawInt(3)
+		gap := sr.drawDuration(minGap, maxGap)
+		log("%6d ms: %s, %d times, gap %v", time.Since(start).Milliseconds(), flt.name, times, gap)
 		wgr.Add(1)
 		go func() {
 			defer wgr.Done()
@@ -75,252 +75,258 @@
 				if ctx.Err() != nil {
 					return
 				}
-				trb.play(wld)
+				flt.inject(sr)
 				time.Sleep(gap)
 			}
 		}()
-		time.Sleep(wld.span(leastGap, mostGap))
+		time.Sleep(sr.drawDuration(minGap, maxGap))
 	}
 	wgr.Wait()
 }
 
-// trouble draws the next one. Where answers are of varied length all but a few are planned
-// stops: an instance is judged by its stops only while all else around it is well.
-func (wld *world) trouble() trouble {
-	if wld.trm.varied && wld.draw(stopsOf) > 0 {
-		return []trouble{{"planned stop", (*world).plannedStop}, {"stops one after the other", (*world).rollingStop}}[wld.draw(2)]
+// drawFault draws the next kind of fault. In runs with answers of varied length most faults are
+// planned shutdowns, since shutdowns are checked only while the instance is otherwise
+// undisturbed.
+func (sr *soakRun) drawFault() faultKind {
+	if sr.params.variedAnswers && sr.drawInt(anyFaultOneIn) > 0 {
+		return []faultKind{{"planned stop", (*soakRun).plannedShutdown}, {"stops one after the other", (*soakRun).rollingShutdown}}[sr.drawInt(2)]
 	}
-	return troubles[wld.draw(wld.kinds)]
+	return faultKinds[sr.drawInt(sr.faultKinds)]
 }
 
-func (wld *world) instance() *instance { return wld.insts[wld.draw(len(wld.insts))] }
+func (sr *soakRun) drawInstance() *instance { return sr.insts[sr.drawInt(len(sr.insts))] }
 
-// faultTime draws how long a fault lasts.
-func (wld *world) faultTime() time.Duration { return wld.span(leastFault, mostFault) }
+// drawFaultDuration draws how long a fault lasts.
+func (sr *soakRun) drawFaultDuration() time.Duration {
+	return sr.drawDuration(minFaultDuration, maxFaultDuration)
+}
 
-func (wld *world) begin(ins *instance) {
-	if err := ins.start(wld.program); err != nil {
-		wld.breaks("%s did not start: %v", ins.name, err)
+func (sr *soakRun) startInstance(ins *instance) {
+	if err := ins.start(sr.program); err != nil {
+		sr.violation("start: %s did not start: %v", ins.name, err)
 	}
 }
 
-func (wld *world) kill() {
-	ins := wld.instance()
+func (sr *soakRun) killInstance() {
+	ins := sr.drawInstance()
 	ins.signal(syscall.SIGKILL)
-	ins.gone(time.Second, never)
-	time.Sleep(wld.span(leastFault, leastFault*4))
-	wld.begin(ins)
+	ins.awaitEnd(time.Second, ignoreTimeout)
+	time.Sleep(sr.drawDuration(minFaultDuration, minFaultDuration*4))
+	sr.startInstance(ins)
 }
 
-func (wld *world) herdKill() {
-	for _, ins := range wld.insts {
+func (sr *soakRun) killAllInstances() {
+	for _, ins := range sr.insts {
 		ins.signal(syscall.SIGKILL)
 	}
-	for _, ins := range wld.insts {
-		ins.gone(time.Second, never)
+	for _, ins := range sr.insts {
+		ins.awaitEnd(time.Second, ignoreTimeout)
 	}
-	time.Sleep(leastFault)
-	for _, ins := range wld.insts {
-		wld.begin(ins)
+	time.Sleep(minFaultDuration)
+	for _, ins := range sr.insts {
+		sr.startInstance(ins)
 	}
 }
 
-func (wld *world) plannedStop() { wld.stop(wld.instance()) }
+func (sr *soakRun) plannedShutdown() { sr.restart(sr.drawInstance()) }
 
-// rollingStop stops all instances, one begun soon after the other, so that several may be
-// leaving at a time; one that was started or troubled just now is waited for.
-func (wld *world) rollingStop() {
-	first, gap := wld.draw(len(wld.insts)), wld.span(leastGap, mostGap/2)
-	until := time.Now().Add(settleFor)
+// rollingShutdown restarts all instances by planned shutdowns, starting one soon after the other
+// so that several may be draining at a time. It waits up to settleTime for an instance that was
+// started or disturbed recently.
+func (sr *soakRun) rollingShutdown() {
+	first, gap := sr.drawInt(len(sr.insts)), sr.drawDuration(minGap, maxGap/2)
+	until := time.Now().Add(settleTime)
 	var wgr sync.WaitGroup
-	for i := range wld.insts {
-		ins := wld.insts[(first+i)%len(wld.insts)]
-		for !ins.calm(time.Now()) && time.Now().Before(until) {
-			time.Sleep(leastGap)
+	for i := range sr.insts {
+		ins := sr.insts[(first+i)%len(sr.insts)]
+		for !ins.steady(time.Now()) && time.Now().Before(until) {
+			time.Sleep(minGap)
 		}
 		wgr.Add(1)
 		go func() {
 			defer wgr.Done()
-			wld.stop(ins)
+			sr.restart(ins)
 		}()
 		time.Sleep(gap)
 	}
 	wgr.Wait()
 }
 
-// stop stops an instance as planned and starts it again.
-func (wld *world) stop(ins *instance) {
-	calm := ins.calm(time.Now())
-	asked := time.Now()
+// restart shuts an instance down as planned and starts it again.
+func (sr *soakRun) restart(ins *instance) {
+	steady := ins.steady(time.Now())
+	signaledAt := time.Now()
 	ins.signal(syscall.SIGTERM)
-	ins.gone(ins.stop+time.Second, func() {
-		// The kill that follows counts as a trouble.
+	ins.awaitEnd(ins.shutdownTimeout+time.Second, func() {
+		// awaitEnd calls this before the kill, which counts as a disturbance.
 		ins.mtx.Lock()
-		calm = calm && ins.troubled.Before(asked) && ins.began.Before(asked)
+		steady = steady && ins.disturbedUntil.Before(signaledAt) && ins.startedAt.Before(signaledAt)
 		ins.mtx.Unlock()
-		if calm {
-			wld.breaks("stop: %s took longer than %v", ins.name, ins.stop)
+		if steady {
+			sr.violation("stop: %s took longer than %v for a planned shutdown", ins.name, ins.shutdownTimeout)
 		}
 	})
-	wld.begin(ins)
+	sr.startInstance(ins)
 }
 
-func (wld *world) freeze() {
-	ins := wld.instance()
+func (sr *soakRun) freezeInstance() {
+	ins := sr.drawInstance()
 	ins.signal(syscall.SIGSTOP)
-	time.Sleep(wld.faultTime())
+	time.Sleep(sr.drawFaultDuration())
 	ins.signal(syscall.SIGCONT)
 }
 
-// changeSettings writes settings with faults, or tells to read them again; neither may
-// change anything.
-func (wld *world) changeSettings() {
-	ins := wld.instance()
-	text, err := os.ReadFile(ins.settled)
+// reloadSettings has an instance reload its settings, in half of the cases after reloading an
+// invalid file. Neither may have an effect.
+func (sr *soakRun) reloadSettings() {
+	ins := sr.drawInstance()
+	text, err := os.ReadFile(ins.settingsPath)
 	if err != nil {
-		wld.breaks("settings: %v", err)
+		sr.violation("settings: %v", err)
 		return
 	}
-	if wld.draw(2) == 0 && !strings.HasPrefix(string(text), "nonsense") {
-		ins.spoil(text, leastGap)
+	if sr.drawInt(2) == 0 && !strings.HasPrefix(string(text), "nonsense") {
+		ins.corruptSettings(text, minGap)
 	}
 	ins.signal(syscall.SIGHUP)
 }
 
-func (wld *world) storeFault() {
-	span := wld.faultTime()
-	wld.troubleAll(time.Now().Add(span))
-	wld.store.SetMode([]fake.Mode{fake.Busy, fake.Silent, fake.Lossy, fake.Slow}[wld.draw(4)])
+func (sr *soakRun) storeFault() {
+	span := sr.drawFaultDuration()
+	sr.markAllDisturbed(time.Now().Add(span))
+	sr.store.SetMode([]fake.Mode{fake.Busy, fake.Silent, fake.Lossy, fake.Slow}[sr.drawInt(4)])
 	time.Sleep(span)
-	wld.store.SetMode(fake.Well)
-	wld.troubleAll(time.Now())
+	sr.store.SetMode(fake.Well)
+	sr.markAllDisturbed(time.Now())
 }
 
-// disturb does something to a wire for a while.
-func (wld *world) disturb(wir *wire, span time.Duration) {
-	switch choice := wld.draw(6); choice {
+// disturbProxy applies a drawn fault to a proxy for a while.
+func (sr *soakRun) disturbProxy(prx *tcpProxy, span time.Duration) {
+	switch choice := sr.drawInt(6); choice {
 	case 0:
-		wir.reset()
+		prx.reset()
 	case 1:
-		wir.stick()
+		prx.blackhole()
 	default:
-		wir.set([]state{delays, mute, deaf, silent}[choice-2])
+		prx.set([]proxyState{stateDelay, stateBlockReplies, stateBlockRequests, stateBlockBoth}[choice-2])
 	}
 	time.Sleep(span)
-	wir.set(passes)
+	prx.set(stateForward)
 }
 
-func (wld *world) storeWay() {
-	ins, span := wld.instance(), wld.faultTime()
-	ins.trouble(time.Now().Add(span))
-	wld.disturb(ins.store, span)
-	ins.trouble(time.Now())
+func (sr *soakRun) storeProxyFault() {
+	ins, span := sr.drawInstance(), sr.drawFaultDuration()
+	ins.markDisturbed(time.Now().Add(span))
+	sr.disturbProxy(ins.storeProxy, span)
+	ins.markDisturbed(time.Now())
 }
 
-func (wld *world) frontWay() {
-	ins, span := wld.instance(), wld.faultTime()/2
-	ins.trouble(time.Now().Add(span))
-	wld.disturb(ins.front, span)
-	ins.trouble(time.Now())
+func (sr *soakRun) frontProxyFault() {
+	ins, span := sr.drawInstance(), sr.drawFaultDuration()/2
+	ins.markDisturbed(time.Now().Add(span))
+	sr.disturbProxy(ins.frontProxy, span)
+	ins.markDisturbed(time.Now())
 }
 
-// peerWay does something for a while to all that the others send to an instance and are
-// sent back. The others stay well: they must do without it.
-func (wld *world) peerWay() {
-	ins, span := wld.instance(), wld.faultTime()
-	ins.trouble(time.Now().Add(span))
-	ins.peers.set([]state{delays, mute, deaf, silent, loses}[wld.draw(5)])
+// peerProxyFault disturbs the datagrams between an instance and all others for a while. The other
+// instances stay steady: they must work without it.
+func (sr *soakRun) peerProxyFault() {
+	ins, span := sr.drawInstance(), sr.drawFaultDuration()
+	ins.markDisturbed(time.Now().Add(span))
+	ins.peerProxy.set([]proxyState{stateDelay, stateBlockReplies, stateBlockRequests, stateBlockBoth, stateDropSome}[sr.drawInt(5)])
 	time.Sleep(span)
-	ins.peers.set(passes)
-	ins.trouble(time.Now())
+	ins.peerProxy.set(stateForward)
+	ins.markDisturbed(time.Now())
 }
 
-// endpoint draws one that serves; nil if its pool would be left without.
-func (wld *world) endpoint(keep int) *endpoint {
-	list := wld.serving(poolNames[wld.draw(len(poolNames))])
-	if len(list) <= keep {
+// drawEndpoint draws a serving endpoint; nil if its pool has no more than reserve of them.
+func (sr *soakRun) drawEndpoint(reserve int) *endpoint {
+	list := sr.servingEndpoints(poolNames[sr.drawInt(len(poolNames))])
+	if len(list) <= reserve {
 		return nil
 	}
-	return list[wld.draw(len(list))]
+	return list[sr.drawInt(len(list))]
 }
 
-func (wld *world) troubleEndpoint(ep *endpoint, until time.Time) {
-	wld.mtx.Lock()
-	defer wld.mtx.Unlock()
-	ep.troubled = later(ep.troubled, until)
+func (sr *soakRun) markEndpointDisturbed(ep *endpoint, until time.Time) {
+	sr.mtx.Lock()
+	defer sr.mtx.Unlock()
+	ep.disturbedUntil = laterOf(ep.disturbedUntil, until)
 }
 
-func (wld *world) endpointWay() {
-	ep, span := wld.endpoint(0), wld.faultTime()
+func (sr *soakRun) endpointProxyFault() {
+	ep, span := sr.drawEndpoint(0), sr.drawFaultDuration()
 	if ep == nil {
 		return
 	}
-	wld.troubleEndpoint(ep, time.Now().Add(span))
-	wld.disturb(ep.wire, span)
-	wld.troubleEndpoint(ep, time.Now())
+	sr.markEndpointDisturbed(ep, time.Now().Add(span))
+	sr.disturbProxy(ep.proxy, span)
+	sr.markEndpointDisturbed(ep, time.Now())
 }
 
-func (wld *world) endpointFaults() {
-	ep := wld.endpoint(0)
+func (sr *soakRun) endpointFaults() {
+	ep := sr.drawEndpoint(0)
 	if ep == nil {
 		return
 	}
 	all := []fake.Fault{fake.Shed, fake.Fails, fake.Cuts, fake.CutsMidway, fake.Foreign, fake.Unsigned, fake.Hangs}
-	for range 2 + wld.draw(4) {
-		ep.Fault(all[wld.draw(len(all))])
+	for range 2 + sr.drawInt(4) {
+		ep.Fault(all[sr.drawInt(len(all))])
 	}
 }
 
-// endpointDies: it ends without a word, its entry lapses later, and another comes.
-func (wld *world) endpointDies() {
-	ep := wld.endpoint(1)
+// endpointCrash ends an endpoint without notice and starts another one. The entry of the crashed
+// one expires later.
+func (sr *soakRun) endpointCrash() {
+	ep := sr.drawEndpoint(1)
 	if ep == nil {
 		return
 	}
-	wld.mtx.Lock()
+	sr.mtx.Lock()
 	ep.gone = true
-	wld.mtx.Unlock()
+	sr.mtx.Unlock()
 	ep.srv.Close()
-	ep.wire.reset()
-	wld.addEndpoint(ep.pool)
-	time.Sleep(lapseFor)
-	wld.store.RemoveEndpoint(ep.ID())
+	ep.proxy.reset()
+	sr.addEndpoint(ep.pool)
+	time.Sleep(entryExpiry)
+	sr.store.RemoveEndpoint(ep.ID())
 }
 
-// endpointLeaves: it says so, serves on for a while, and another comes.
-func (wld *world) endpointLeaves() {
-	ep := wld.endpoint(1)
+// endpointDrain starts another endpoint, marks the entry of one as leaving and stops it after
+// drainTime.
+func (sr *soakRun) endpointDrain() {
+	ep := sr.drawEndpoint(1)
 	if ep == nil {
 		return
 	}
-	wld.addEndpoint(ep.pool)
-	wld.store.PutEndpoint(ep.ID(), fake.Entry(ep.pool, ep.wire.addr(), true))
-	wld.mtx.Lock()
-	ep.drained = time.Now()
-	wld.mtx.Unlock()
-	time.Sleep(servesOn)
-	wld.store.RemoveEndpoint(ep.ID())
-	wld.mtx.Lock()
+	sr.addEndpoint(ep.pool)
+	sr.store.PutEndpoint(ep.ID(), fake.Entry(ep.pool, ep.proxy.addr(), true))
+	sr.mtx.Lock()
+	ep.drainedAt = time.Now()
+	sr.mtx.Unlock()
+	time.Sleep(drainTime)
+	sr.store.RemoveEndpoint(ep.ID())
+	sr.mtx.Lock()
 	ep.gone = true
-	wld.mtx.Unlock()
+	sr.mtx.Unlock()
 	ep.srv.Close()
 }
 
-// heal ends all that is done to anybody.
-func (wld *world) heal() {
-	wld.store.SetMode(fake.Well)
-	for _, ins := range wld.insts {
-		ins.store.set(passes)
-		ins.front.set(passes)
-		ins.peers.set(passes)
+// heal ends all faults and starts the instances that are down.
+func (sr *soakRun) heal() {
+	sr.store.SetMode(fake.Well)
+	for _, ins := range sr.insts {
+		ins.storeProxy.set(stateForward)
+		ins.frontProxy.set(stateForward)
+		ins.peerProxy.set(stateForward)
 		ins.signal(syscall.SIGCONT)
-		if _, _, leaving := ins.standing(); leaving {
-			ins.gone(ins.stop+time.Second, never)
+		if _, _, stopping := ins.processState(); stopping {
+			ins.awaitEnd(ins.shutdownTimeout+time.Second, ignoreTimeout)
 		}
-		wld.begin(ins)
+		sr.startInstance(ins)
 	}
-	for _, ep := range wld.eps {
-		ep.wire.set(passes)
+	for _, ep := range sr.eps {
+		ep.proxy.set(stateForward)
 		ep.Mend()
 	}
 }
--- a/internal/soak/rates_test.go
+++ b/internal/soak/rates_test.go
@@ -6,58 +6,59 @@
 )
 
 const (
-	ratedFor = 10 * time.Second
-	// rateWindow is the time over which an endpoint's requests are counted, rateTimes the
-	// rate is what it may get then from instances that are well, and rateMore requests.
+	rateDuration = 10 * time.Second
+	// In each rateWindow an endpoint may get from steady instances rateFactor times its declared
+	// rate, and rateBurst requests beyond that.
 	rateWindow = 4 * time.Second
-	rateTimes  = 1.5
-	rateMore   = 5
+	rateFactor = 1.5
+	rateBurst  = 5
 )
 
-// rates are those that endpoints name, in requests a second.
+// rates are the rates that endpoints declare, in requests per second.
 var rates = []float64{0.25, 0.5, 1}
 
-// named is a span in which an endpoint named a rate.
-type named struct {
+// declaredRate is a period in which an endpoint declared a rate.
+type declaredRate struct {
 	ep        *endpoint
 	perSecond float64
 	from      time.Time
 	until     time.Time
 }
 
-// namesRate has an endpoint name a rate for a while.
-func (wld *world) namesRate() {
-	ep := wld.endpoint(0)
+// declareRate makes an endpoint declare a rate for rateDuration.
+func (sr *soakRun) declareRate() {
+	ep := sr.drawEndpoint(0)
 	if ep == nil {
 		return
 	}
-	nmd := &named{ep: ep, perSecond: rates[wld.draw(len(rates))], from: time.Now(), until: time.Now().Add(ratedFor)}
-	wld.mtx.Lock()
-	if !ep.rated.Before(nmd.from) {
-		wld.mtx.Unlock()
+	dcl := &declaredRate{ep: ep, perSecond: rates[sr.drawInt(len(rates))], from: time.Now(), until: time.Now().Add(rateDuration)}
+	sr.mtx.Lock()
+	if !ep.ratedUntil.Before(dcl.from) {
+		sr.mtx.Unlock()
 		return
 	}
-	ep.rated = nmd.until
-	wld.named = append(wld.named, nmd)
-	wld.mtx.Unlock()
-	ep.SetRate(nmd.perSecond)
-	time.Sleep(ratedFor)
+	ep.ratedUntil = dcl.until
+	sr.declaredRates = append(sr.declaredRates, dcl)
+	sr.mtx.Unlock()
+	ep.SetRate(dcl.perSecond)
+	time.Sleep(rateDuration)
 	ep.Unname()
 }
 
-// judgeRates: from 3 s after an endpoint first named a rate it gets in any 4 s no more than one
-// and a half times that and five requests, from instances that are well.
-func (wld *world) judgeRates() {
-	for _, nmd := range wld.named {
+// checkRates checks that from settleTime after an endpoint first declared a rate, steady
+// instances send it in any rateWindow no more than one and a half times that rate and five
+// requests.
+func (sr *soakRun) checkRates() {
+	for _, dcl := range sr.declaredRates {
 		var all []time.Time
-		for _, run := range nmd.ep.Runs() {
-			att := wld.attempts[run.ID]
-			if att != nil && att.calm && run.At.Sub(nmd.from) > settleFor && run.At.Before(nmd.until) {
+		for _, run := range dcl.ep.Runs() {
+			att := sr.attempts[run.ID]
+			if att != nil && att.steady && run.At.Sub(dcl.from) > settleTime && run.At.Before(dcl.until) {
 				all = append(all, run.At)
 			}
 		}
 		slices.SortFunc(all, time.Time.Compare)
-		most := 0
+		maxCount := 0
 		for i, first := range all {
 			count := 0
 			for _, at := range all[i:] {
@@ -65,12 +66,12 @@
 					count++
 				}
 			}
-			most = max(most, count)
+			maxCount = max(maxCount, count)
 		}
-		allowed := int(rateTimes*nmd.perSecond*rateWindow.Seconds()) + rateMore
-		wld.note("%s named %v a second and got %d from instances that are well, %d of them in 4 s, %d allowed", nmd.ep.ID(), nmd.perSecond, len(all), most, allowed)
-		if most > allowed {
-			wld.breaks("rate: %s named %v a second and got %d in 4 s, %d allowed", nmd.ep.ID(), nmd.perSecond, most, allowed)
+		allowed := int(rateFactor*dcl.perSecond*rateWindow.Seconds()) + rateBurst
+		sr.note("%s declared %v requests/s and got %d from steady instances, at most %d in 4 s, %d allowed", dcl.ep.ID(), dcl.perSecond, len(all), maxCount, allowed)
+		if maxCount > allowed {
+			sr.violation("rate: %s declared %v requests/s and got %d in 4 s, %d allowed", dcl.ep.ID(), dcl.perSecond, maxCount, allowed)
 		}
 	}
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -20,91 +20,94 @@
 )
 
 const (
-	usualInstances = 4
-	usualCallers   = 8
-	// moreCallers times as many ask where most of them wait for long answers.
-	moreCallers = 3
-	// usualSpan is how long troubles are drawn in CI; some minutes by hand.
-	usualSpan = 8 * time.Second
-	// backWithin is the time in which a deployment that is well again serves.
-	backWithin = 15 * time.Second
-	// linesASecond bounds what one process writes under this load.
-	linesASecond = 2000
+	defaultInstances = 4
+	defaultCallers   = 8
+	// Runs with answers of varied length have variedCallersFactor times as many callers, since
+	// most of these wait for long answers.
+	variedCallersFactor = 3
+	// defaultDuration is how long faults are injected in CI; runs by hand take minutes.
+	defaultDuration = 8 * time.Second
+	// recoveryTime is the time within which a deployment serves again once all faults have ended.
+	recoveryTime = 15 * time.Second
+	// maxLinesPerSecond bounds the log lines of one process under this load.
+	maxLinesPerSecond = 2000
 )
 
-// number reads a number from the environment.
-func number(t *testing.T, name string, usual int) int {
+// envInt reads a positive number from the environment.
+func envInt(t *testing.T, name string, fallback int) int {
 	text := os.Getenv(name)
 	if text == "" {
-		return usual
+		return fallback
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 1 {
-		t.Fatalf("%s=%q is not a number above 0", name, text)
+		t.Fatalf("%s=%q is not a positive number", name, text)
 	}
 	return n
 }
 
-// play is a run to be played: what is drawn, and from how many kinds of trouble. A kind
-// that came later would change all that an older seed draws.
-type play struct {
-	seed  uint64
-	kinds int
+// runSpec determines a run: the seed, and the number of fault kinds to draw from. A seed is kept
+// together with this number, since a kind that is added later would change all that the seed
+// draws.
+type runSpec struct {
+	seed       uint64
+	faultKinds int
 }
 
-// TestSoak plays one run for each seed: the few of CI, those that ever failed, or those
-// that the environment asks for (docs/SOAK.md). It guards against troubles, and planned
-// stops under answers of any length, that break a promise to callers.
+// TestSoak runs each seed: the few of CI, which include those that once failed, or those that the
+// environment asks for (docs/SOAK.md). It guards against faults, and planned shutdowns during
+// answers of any length, that violate a guarantee to callers.
 func TestSoak(t *testing.T) {
 	zlog.To(zerolog.Nop())
-	program := build(t)
-	for _, ply := range plays(t) {
-		t.Run(fmt.Sprintf("seed-%d", ply.seed), func(t *testing.T) { soak(t, program, ply) })
+	program := buildDaemon(t)
+	for _, spc := range runSpecs(t) {
+		t.Run(fmt.Sprintf("seed-%d", spc.seed), func(t *testing.T) { runSeed(t, program, spc) })
 	}
 }
 
-// plays lists the runs to play.
-func plays(t *testing.T) []play {
-	kinds := len(troubles)
+// runSpecs lists the runs to do.
+func runSpecs(t *testing.T) []runSpec {
+	kinds := len(faultKinds)
 	if os.Getenv("AMV_SOAK_KINDS") != "" {
-		kinds = number(t, "AMV_SOAK_KINDS", kinds)
+		kinds = envInt(t, "AMV_SOAK_KINDS", kinds)
 	}
 	if os.Getenv("AMV_SOAK_SEED") != "" {
-		return []play{{seed: uint64(number(t, "AMV_SOAK_SEED", 1)), kinds: kinds}}
+		return []runSpec{{seed: uint64(envInt(t, "AMV_SOAK_SEED", 1)), faultKinds: kinds}}
 	}
 	if os.Getenv("AMV_SOAK_SEEDS") == "" {
-		return kept(t)
+		return readSeeds(t)
 	}
-	first := uint64(number(t, "AMV_SOAK_FROM", int(time.Now().Unix())))
-	var list []play
-	for i := range number(t, "AMV_SOAK_SEEDS", 1) {
-		list = append(list, play{seed: first + uint64(i), kinds: kinds})
+	first := uint64(envInt(t, "AMV_SOAK_FROM", int(time.Now().Unix())))
+	var list []runSpec
+	for i := range envInt(t, "AMV_SOAK_SEEDS", 1) {
+		list = append(list, runSpec{seed: first + uint64(i), faultKinds: kinds})
 	}
 	return list
 }
 
-// kept reads the runs that CI plays: a seed and its kinds a line, and what it showed.
-func kept(t *testing.T) []play {
+// readSeeds reads the runs of CI. Each line has a seed, its number of fault kinds and what it
+// showed.
+func readSeeds(t *testing.T) []runSpec {
 	file, err := os.Open(filepath.Join("testdata", "seeds.txt"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = file.Close() }()
-	var list []play
+	var list []runSpec
 	for scn := bufio.NewScanner(file); scn.Scan(); {
 		if scn.Text() == "" || strings.HasPrefix(scn.Text(), "#") {
 			continue
 		}
-		var ply play
-		if _, err := fmt.Sscanf(scn.Text(), "%d/%d ", &ply.seed, &ply.kinds); err != nil || ply.kinds > len(troubles) {
-			t.Fatalf("testdata/seeds.txt: %q: %v", scn.Text(), err)
+		var spc runSpec
+		if _, err := fmt.Sscanf(scn.Text(), "%d/%d ", &spc.seed, &spc.faultKinds); err != nil || spc.faultKinds > len(faultKinds) {
+			t.Fatalf("testdata/seeds.txt: %q is not SEED/KINDS with at most %d kinds: %v", scn.Text(), len(faultKinds), err)
 		}
-		list = append(list, ply)
+		list = append(list, spc)
 	}
 	return list
 }
 
-func build(t *testing.T) string {
+func buildDaemon(t *testing.T) string {
 	program := filepath.Join(t.TempDir(), "amvnode")
 	if out, err := exec.Command("go", "build", "-o", program, "amaranthvalve/cmd/amvnode").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v: %s", err, out)
@@ -112,114 +115,115 @@
 	return program
 }
 
-// soak plays one seed and tells what it broke.
-func soak(t *testing.T, program string, ply play) {
-	wld := newWorld(t, program, ply, number(t, "AMV_SOAK_INSTANCES", usualInstances))
-	if !wld.serves() {
-		wld.breaks("not served at the start")
-		wld.report(t)
+// runSeed runs one seed and reports the violations.
+func runSeed(t *testing.T, program string, spc runSpec) {
+	sr := newSoakRun(t, program, spc, envInt(t, "AMV_SOAK_INSTANCES", defaultInstances))
+	if !sr.awaitServing() {
+		sr.violation("start: some instances did not serve all kinds of requests")
+		sr.report(t)
 		return
 	}
-	span := usualSpan
+	duration := defaultDuration
 	if os.Getenv("AMV_SOAK_SECONDS") != "" {
-		span = time.Duration(number(t, "AMV_SOAK_SECONDS", 1)) * time.Second
+		duration = time.Duration(envInt(t, "AMV_SOAK_SECONDS", 1)) * time.Second
 	}
-	began := time.Now()
-	wld.traffic(t, span)
-	for _, ins := range wld.insts {
-		wld.judgeProcess(ins, time.Since(began))
+	start := time.Now()
+	sr.runTraffic(t, duration)
+	for _, ins := range sr.insts {
+		sr.checkProcess(ins, time.Since(start))
 	}
-	wld.judgeAll()
-	wld.report(t)
+	sr.checkAll()
+	sr.report(t)
 }
 
-// traffic plays troubles under the callers' load, then looks whether all is well again.
-func (wld *world) traffic(t *testing.T, span time.Duration) {
+// runTraffic injects faults under the callers' load and then checks that the deployment recovers.
+func (sr *soakRun) runTraffic(t *testing.T, duration time.Duration) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wgr sync.WaitGroup
-	callers := number(t, "AMV_SOAK_CALLERS", usualCallers)
-	if wld.trm.varied {
-		t.Logf("answers of varied length, %v at least; stop_ms %d, keep_ms %d", wld.trm.least, wld.trm.stop.Milliseconds(), wld.trm.keep.Milliseconds())
-		callers *= moreCallers
+	callers := envInt(t, "AMV_SOAK_CALLERS", defaultCallers)
+	if sr.params.variedAnswers {
+		t.Logf("answers of varied length, at least %v; stop_ms %d, keep_ms %d", sr.params.minAnswerTime, sr.params.shutdownTimeout.Milliseconds(), sr.params.entryTTL.Milliseconds())
+		callers *= variedCallersFactor
 	}
 	for i := range callers {
-		clr := wld.newCaller(i)
+		clr := sr.newCaller(i)
 		wgr.Add(1)
 		go func() {
 			defer wgr.Done()
 			if i == 0 {
-				clr.probe(ctx)
+				clr.runVersionProbe(ctx)
 				return
 			}
-			if wld.trm.varied && i%2 == 0 {
-				clr.stay(ctx)
+			if sr.params.variedAnswers && i%2 == 0 {
+				clr.runSticky(ctx)
 				return
 			}
 			clr.run(ctx)
 		}()
 	}
-	if wld.trm.varied {
-		// Instances are held to their stops only from then on.
-		time.Sleep(settleFor)
+	if sr.params.variedAnswers {
+		// Shutdowns are checked only from settleTime after the start of an instance on.
+		time.Sleep(settleTime)
 	}
-	faults, stop := context.WithTimeout(ctx, span)
-	wld.play(faults, t.Logf)
+	faults, stop := context.WithTimeout(ctx, duration)
+	sr.inject(faults, t.Logf)
 	stop()
-	wld.heal()
-	if !wld.serves() {
-		wld.breaks("recovery: not served %v after everything was well again", backWithin)
+	sr.heal()
+	if !sr.awaitServing() {
+		sr.violation("recovery: some instances did not serve all kinds of requests within %v after all faults had ended", recoveryTime)
 	}
 	cancel()
 	wgr.Wait()
 }
 
-// serves waits until every instance serves every kind of request.
-func (wld *world) serves() bool {
-	clr := wld.newCaller(1000 + wld.draw(1<<20))
-	until := time.Now().Add(backWithin)
+// awaitServing waits until every instance serves every kind of request, and reports whether they
+// do within recoveryTime.
+func (sr *soakRun) awaitServing() bool {
+	clr := sr.newCaller(1000 + sr.drawInt(1<<20))
+	until := time.Now().Add(recoveryTime)
 	for time.Now().Before(until) {
-		well := true
-		for _, ins := range wld.insts {
-			for _, knd := range kinds {
-				well = well && clr.sendTo(ins, knd, mainKey, 0).status == http.StatusOK
+		serving := true
+		for _, ins := range sr.insts {
+			for _, knd := range requestKinds {
+				serving = serving && clr.sendQuick(ins, knd, permanentKey, 0).status == http.StatusOK
 			}
 		}
-		if well {
+		if serving {
 			return true
 		}
-		time.Sleep(leastGap)
+		time.Sleep(minGap)
 	}
 	return false
 }
 
-// judgeProcess: processes end when they are told to, and write lines that can be read,
-// not too many.
-func (wld *world) judgeProcess(ins *instance, took time.Duration) {
+// checkProcess checks that processes end only when they are signalled, and that their log lines
+// are JSON and not too many.
+func (sr *soakRun) checkProcess(ins *instance, took time.Duration) {
 	ins.mtx.Lock()
 	defer ins.mtx.Unlock()
-	for _, what := range ins.byItself {
-		wld.breaks("%s", what)
+	for _, end := range ins.unexpectedEnds {
+		sr.violation("%s", end)
 	}
-	if ins.unheard > 0 {
-		wld.notes = append(wld.notes, fmt.Sprintf("%s: %d processes ended by a reload that was asked for before their first line", ins.name, ins.unheard))
+	if ins.earlyHangups > 0 {
+		sr.notes = append(sr.notes, fmt.Sprintf("%s: a reload ended %d processes before their first log line", ins.name, ins.earlyHangups))
 	}
 	ins.log.mtx.Lock()
 	defer ins.log.mtx.Unlock()
-	for _, line := range ins.log.bad {
-		wld.breaks("log: %s wrote %q", ins.name, line)
+	for _, line := range ins.log.invalid {
+		sr.violation("log: %s wrote a line that is not JSON: %q", ins.name, line)
 	}
-	if most := linesASecond * int(took.Seconds()+1); ins.log.all > most {
-		wld.breaks("log: %s wrote %d lines in %v", ins.name, ins.log.all, took)
+	if limit := maxLinesPerSecond * int(took.Seconds()+1); ins.log.lineCount > limit {
+		sr.violation("log: %s wrote %d lines in %v, %d allowed", ins.name, ins.log.lineCount, took, limit)
 	}
 }
 
-// afterStops tells how many requests were sent to instances that had been asked to stop,
-// while all around them was well, and how they ended.
-func (wld *world) afterStops() string {
+// shutdownOutcomes summarizes how requests ended that were sent to undisturbed instances after
+// the signal of a planned shutdown.
+func (sr *soakRun) shutdownOutcomes() string {
 	ends := map[string]int{}
-	for _, att := range wld.order {
-		asked := att.ins.askedAt(att.life)
-		if !att.quiet || asked.IsZero() || att.sent.Sub(asked) <= heardFor {
+	for _, att := range sr.order {
+		shutdownAt := att.ins.shutdownTime(att.incarnation)
+		if !att.undisturbed || shutdownAt.IsZero() || att.sent.Sub(shutdownAt) <= signalSlack {
 			continue
 		}
 		end := strconv.Itoa(att.status)
@@ -233,40 +237,40 @@
 		}
 		ends[end]++
 	}
-	return fmt.Sprintf("sent after a planned stop's begin, ended %v", ends)
+	return fmt.Sprintf("requests sent after the signal of a planned shutdown, by outcome: %v", ends)
 }
 
-// report tells what was asked, how it ended and what was broken; the logs of a run that
-// broke something are kept.
-func (wld *world) report(t *testing.T) {
+// report logs the requests and their outcomes and fails the test for each violation. The logs of
+// a run with violations are copied to AMV_SOAK_LOGS.
+func (sr *soakRun) report(t *testing.T) {
 	ends := map[string]int{}
-	for _, att := range wld.order {
+	for _, att := range sr.order {
 		end := strconv.Itoa(att.status)
 		if att.err != nil {
 			end = "cut"
 		}
 		ends[end]++
 	}
-	t.Logf("seed %d: %d requests, ended %v", wld.seed, len(wld.order), ends)
-	t.Logf("seed %d: %s", wld.seed, wld.afterStops())
-	for _, what := range wld.notes {
-		t.Logf("seed %d: %s", wld.seed, what)
+	t.Logf("seed %d: %d requests, by outcome: %v", sr.seed, len(sr.order), ends)
+	t.Logf("seed %d: %s", sr.seed, sr.shutdownOutcomes())
+	for _, line := range sr.notes {
+		t.Logf("seed %d: %s", sr.seed, line)
 	}
-	if len(wld.broken) == 0 {
+	if len(sr.violations) == 0 {
 		return
 	}
-	for _, what := range wld.broken {
-		t.Errorf("seed %d: %s", wld.seed, what)
+	for _, line := range sr.violations {
+		t.Errorf("seed %d: %s", sr.seed, line)
 	}
-	keep := os.Getenv("AMV_SOAK_LOGS")
-	if keep == "" {
+	logDir := os.Getenv("AMV_SOAK_LOGS")
+	if logDir == "" {
 		return
 	}
-	for _, ins := range wld.insts {
+	for _, ins := range sr.insts {
 		text, err := os.ReadFile(ins.log.file.Name())
 		if err == nil {
-			_ = os.MkdirAll(keep, 0o755)
-			_ = os.WriteFile(filepath.Join(keep, fmt.Sprintf("%d-%s.log", wld.seed, ins.name)), text, 0o600)
+			_ = os.MkdirAll(logDir, 0o755)
+			_ = os.WriteFile(filepath.Join(logDir, fmt.Sprintf("%d-%s.log", sr.seed, ins.name)), text, 0o600)
 		}
 	}
 }
