--- a/internal/proc/doc.go
+++ b/internal/proc/doc.go
@@ -1,4 +1,3 @@
-// Package proc starts the programs as separate processes, for tests only: the
-// stand-ins and instances of one small deployment on free ports, which a test
-// then kills, freezes and asks.
+// Package proc has tests with the programs as separate processes: the stand-ins and
+// instances of one small deployment on free ports, which the tests kill, freeze and query.
 package proc
