--- a/internal/stand/doc.go
+++ b/internal/stand/doc.go
@@ -1,9 +1,8 @@
-// Package stand holds small stand-ins for what the system meets: the platform
-// (log service, instance list, weight store), model engines, stage pools and
-// plain services. They speak the protocols of docs/PROTOCOL.md over real
-// sockets and keep a record of all they executed, which tests hold against what
-// callers were told.
+// Package stand has small test doubles of the services around the system: the platform
+// (log service, instance list, weight store), model engines, stage pools and plain
+// services. They speak the protocols of docs/PROTOCOL.md over real sockets and record
+// each execution, so that tests can compare these records with the callers' answers.
 //
-// Each has faults that a request to /v1/faults switches on, see [Faults]. They
-// are scaffolding for tests and the demo and never part of a deployment.
+// A request to /v1/faults switches on faults, see [Faults]. The package serves tests and
+// the demo and is not part of any deployment.
 package stand
--- a/internal/stand/endpoint.go
+++ b/internal/stand/endpoint.go
@@ -12,10 +12,10 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// reportLag is how old an endpoint's load report may be.
+// reportLag is the maximum age of an endpoint's load report.
 const reportLag = 500 * time.Millisecond
 
-// Execution is a line of an endpoint's own record of what it ran.
+// Execution is an entry of an endpoint's record of executed requests.
 type Execution struct {
 	Attempt   string `json:"attempt"`
 	RequestID string `json:"request_id"`
@@ -24,55 +24,55 @@
 	Tokens    int    `json:"tokens,omitempty"`
 }
 
-// Endpoint stands in for a stage pool's endpoint, a plain service or, with
+// Endpoint is a test double of a stage pool's endpoint, a plain service or, if created by
 // [NewEngine], a model engine.
 type Endpoint struct {
-	id      string
-	stepMs  int64
-	places  chan struct{}
-	faults  faulty
-	engine  *engine
-	checks  bool
-	mtx     sync.Mutex
-	running int
-	shown   int
-	shownAt time.Time
-	ran     []Execution
-	model   string
-	fence   int64
-	orders  []wire.Order
+	id            string
+	stepMs        int64
+	slots         chan struct{}
+	faults        faultState
+	engine        *engine
+	checksFencing bool
+	mtx           sync.Mutex
+	running       int
+	reportedLoad  int
+	reportedAt    time.Time
+	executions    []Execution
+	model         string
+	fence         int64
+	orders        []wire.Order
 }
 
-// NewEndpoint returns an endpoint that runs each request in stepMs and so many
-// at once.
+// NewEndpoint returns an endpoint that takes stepMs for each request and runs up to
+// parallel requests at once.
 func NewEndpoint(id string, stepMs int64, parallel int) *Endpoint {
-	return &Endpoint{id: id, stepMs: stepMs, places: make(chan struct{}, parallel)}
+	return &Endpoint{id: id, stepMs: stepMs, slots: make(chan struct{}, parallel)}
 }
 
-// CheckFencing makes the endpoint refuse orders with an old fencing number.
-func (ept *Endpoint) CheckFencing(checks bool) { ept.checks = checks }
+// CheckFencing sets whether the endpoint refuses orders with an outdated fencing number.
+func (ept *Endpoint) CheckFencing(checks bool) { ept.checksFencing = checks }
 
-// SetFaults switches faults on and off.
+// SetFaults replaces the faults in force.
 func (ept *Endpoint) SetFaults(flt Faults) { ept.faults.set(flt) }
 
-// ID gives the endpoint's name in the instance list.
+// ID returns the endpoint's ID in the instance list.
 func (ept *Endpoint) ID() string { return ept.id }
 
-// Executions gives the record of what ran.
+// Executions returns the record of executed requests.
 func (ept *Endpoint) Executions() []Execution {
 	ept.mtx.Lock()
 	defer ept.mtx.Unlock()
-	return append([]Execution(nil), ept.ran...)
+	return append([]Execution(nil), ept.executions...)
 }
 
-// Orders gives the orders that were taken, in their order.
+// Orders returns the accepted orders in the order of their arrival.
 func (ept *Endpoint) Orders() []wire.Order {
 	ept.mtx.Lock()
 	defer ept.mtx.Unlock()
 	return append([]wire.Order(nil), ept.orders...)
 }
 
-// Model gives the model that is loaded.
+// Model returns the name of the loaded model.
 func (ept *Endpoint) Model() string {
 	ept.mtx.Lock()
 	defer ept.mtx.Unlock()
@@ -109,42 +109,42 @@
 	if !ept.occupy(req.Context()) {
 		return
 	}
-	defer func() { <-ept.places }()
-	began := time.Now()
-	ept.note(Execution{Attempt: run.Attempt, RequestID: run.RequestID, Workspace: run.Workspace, Input: run.Takes()})
-	wait(req.Context(), ept.stepMs)
-	ept.faults.cutReply()
-	if ept.faults.use(func(flt *Faults) *int { return &flt.WrongAttempt }) {
+	defer func() { <-ept.slots }()
+	start := time.Now()
+	ept.record(Execution{Attempt: run.Attempt, RequestID: run.RequestID, Workspace: run.Workspace, Input: run.Takes()})
+	sleep(req.Context(), ept.stepMs)
+	ept.faults.loseReply()
+	if ept.faults.take(func(flt *Faults) *int { return &flt.WrongAttempt }) {
 		run.Attempt = "00000000000000000000000000000000"
 	}
-	ept.headers(wrt)
+	ept.setHeaders(wrt)
 	wire.WriteJSON(wrt, http.StatusOK, wire.Ran{
 		Attempt:  run.Attempt,
 		Output:   fmt.Sprintf("%s(%s)", run.Stage, run.Takes()),
-		EngineMs: clock.FromDuration(time.Since(began)),
+		EngineMs: clock.FromDuration(time.Since(start)),
 	})
 }
 
 func (ept *Endpoint) occupy(ctx context.Context) bool {
 	select {
-	case ept.places <- struct{}{}:
+	case ept.slots <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func wait(ctx context.Context, ms int64) {
+func sleep(ctx context.Context, ms int64) {
 	select {
 	case <-time.After(time.Duration(ms) * time.Millisecond):
 	case <-ctx.Done():
 	}
 }
 
-func (ept *Endpoint) note(exc Execution) {
+func (ept *Endpoint) record(exc Execution) {
 	ept.mtx.Lock()
 	defer ept.mtx.Unlock()
-	ept.ran = append(ept.ran, exc)
+	ept.executions = append(ept.executions, exc)
 }
 
 func (ept *Endpoint) count(n int) {
@@ -153,7 +153,7 @@
 	ept.running += n
 }
 
-func (ept *Endpoint) headers(wrt http.ResponseWriter) {
+func (ept *Endpoint) setHeaders(wrt http.ResponseWriter) {
 	ept.mtx.Lock()
 	defer ept.mtx.Unlock()
 	wrt.Header().Set(wire.HeaderLoad, strconv.Itoa(ept.running))
@@ -164,11 +164,11 @@
 
 func (ept *Endpoint) load(wrt http.ResponseWriter, _ *http.Request) {
 	ept.mtx.Lock()
-	// The report lags behind.
-	if time.Since(ept.shownAt) > reportLag {
-		ept.shown, ept.shownAt = ept.running, time.Now()
+	// The reported load is up to reportLag old.
+	if time.Since(ept.reportedAt) > reportLag {
+		ept.reportedLoad, ept.reportedAt = ept.running, time.Now()
 	}
-	rep := wire.Load{Load: ept.shown, Leaving: ept.faults.get().Leave, Model: ept.model, Fence: ept.fence}
+	rep := wire.Load{Load: ept.reportedLoad, Leaving: ept.faults.get().Leave, Model: ept.model, Fence: ept.fence}
 	ept.mtx.Unlock()
 	if ept.engine != nil {
 		rep.Evicted = ept.engine.takeEvicted()
@@ -183,17 +183,17 @@
 		return
 	}
 	ept.mtx.Lock()
-	old := ept.checks && ord.Fence < ept.fence
-	if !old {
+	outdated := ept.checksFencing && ord.Fence < ept.fence
+	if !outdated {
 		ept.fence = max(ept.fence, ord.Fence)
 		ept.model = ord.Model
 		ept.orders = append(ept.orders, ord)
 	}
 	ept.mtx.Unlock()
-	if old {
-		wire.WriteJSON(wrt, http.StatusConflict, wire.Fail{Error: "old fencing number"})
+	if outdated {
+		wire.WriteJSON(wrt, http.StatusConflict, wire.Fail{Error: "fencing number is outdated"})
 		return
 	}
-	ept.faults.cutReply()
+	ept.faults.loseReply()
 	wire.WriteJSON(wrt, http.StatusOK, ord)
 }
--- a/internal/stand/engine.go
+++ b/internal/stand/engine.go
@@ -17,48 +17,47 @@
 
 const (
 	defaultTokens = 16
-	// cacheSize bounds the prompt prefixes an engine remembers.
+	// cacheSize is the maximum number of prompt prefixes in an engine's cache.
 	cacheSize = 64
-	// streamLife is how long a finished or abandoned stream can be resumed.
+	// streamLife is the time during which a finished or abandoned stream can be resumed.
 	streamLife = 30 * time.Second
 )
 
-// engine is the generating part of an endpoint: a batch that advances all its
-// streams by one token a step.
+// engine generates tokens for an endpoint: each step advances the streams of its batch by
+// one token.
 type engine struct {
-	stepMs  int64
-	batch   int
-	mtx     sync.Mutex
-	streams map[string]*generation
-	running int
-	active  map[string]*generation
-	order   []uint64
-	cached  map[uint64]bool
-	evicted []uint64
+	stepMs     int64
+	batch      int
+	mtx        sync.Mutex
+	streams    map[string]*generation
+	running    int
+	active     map[string]*generation
+	cacheOrder []uint64
+	cached     map[uint64]bool
+	evicted    []uint64
 }
 
-// generation is one stream. Its tokens are a function of the prompt, so that
-// any engine goes on as the first one would have.
+// generation is one stream. Its tokens depend only on the prompt and the index, so that any
+// engine can continue the stream of another.
 type generation struct {
-	run     wire.Run
-	began   time.Time
-	mtx     sync.Mutex
-	have    int
-	want    int
-	grown   chan struct{}
-	stop    context.CancelFunc
-	stopped bool
+	run       wire.Run
+	startedAt time.Time
+	mtx       sync.Mutex
+	generated int
+	target    int
+	grown     chan struct{}
+	stop      context.CancelFunc
+	stopped   bool
 }
 
-// NewEngine returns a model engine with steps of stepMs and a batch of so many
-// streams.
+// NewEngine returns a model engine with steps of stepMs and a batch of up to batch streams.
 func NewEngine(id string, stepMs int64, batch int) *Endpoint {
 	ept := NewEndpoint(id, stepMs, batch)
 	ept.engine = &engine{stepMs: stepMs, batch: batch, streams: map[string]*generation{}, active: map[string]*generation{}, cached: map[uint64]bool{}}
 	return ept
 }
 
-// TokenAt gives the token that any engine generates at an index of a prompt.
+// TokenAt returns the token that any engine generates for a prompt at an index.
 func TokenAt(prompt string, index int) string {
 	return fmt.Sprintf("t%d-%04x ", index, uint16(xxhash.Sum64String(prompt+strconv.Itoa(index))))
 }
@@ -72,10 +71,10 @@
 	gen, ok := ept.engine.start(run)
 	if !ok {
 		wrt.Header().Set(wire.HeaderRan, wire.RanNo)
-		wire.WriteJSON(wrt, http.StatusServiceUnavailable, wire.Fail{Error: "batch full"})
+		wire.WriteJSON(wrt, http.StatusServiceUnavailable, wire.Fail{Error: "engine has too many streams"})
 		return
 	}
-	ept.note(Execution{Attempt: run.Attempt, RequestID: run.RequestID, Workspace: run.Workspace, Input: run.Takes(), Tokens: gen.want - run.From})
+	ept.record(Execution{Attempt: run.Attempt, RequestID: run.RequestID, Workspace: run.Workspace, Input: run.Takes(), Tokens: gen.target - run.From})
 	ept.stream(wrt, req, gen, run.From)
 }
 
@@ -86,7 +85,7 @@
 	gen, ok := eng.streams[req.PathValue("attempt")]
 	eng.mtx.Unlock()
 	if !ok || from < gen.run.From {
-		wire.WriteJSON(wrt, http.StatusNotFound, wire.Fail{Error: "no such stream"})
+		wire.WriteJSON(wrt, http.StatusNotFound, wire.Fail{Error: "no such stream, or it begins after the requested index"})
 		return
 	}
 	ept.stream(wrt, req, gen, from)
@@ -104,8 +103,8 @@
 	wire.WriteJSON(wrt, http.StatusOK, wire.Fail{})
 }
 
-// start begins a generation, which goes on when its reader is gone, so that it
-// can be resumed.
+// start starts a generation. It continues after its reader has disconnected, so that the
+// stream can be resumed.
 func (eng *engine) start(run wire.Run) (*generation, bool) {
 	eng.mtx.Lock()
 	defer eng.mtx.Unlock()
@@ -118,31 +117,33 @@
 	}
 	life := max(run.BudgetMs.Duration(), time.Second) + streamLife
 	ctx, stop := context.WithTimeout(context.Background(), life)
-	gen := &generation{run: run, began: time.Now(), have: run.From, want: max(want, run.From), grown: make(chan struct{}), stop: stop}
+	gen := &generation{run: run, startedAt: time.Now(), generated: run.From, target: max(want, run.From), grown: make(chan struct{}), stop: stop}
 	eng.streams[run.Attempt] = gen
 	eng.running++
 	eng.active[run.Attempt] = gen
 	warm := eng.touch(Prefix(run.Takes()))
-	go eng.work(ctx, gen, warm)
+	go eng.advance(ctx, gen, warm)
 	return gen, true
 }
 
-// Prefix hashes the part of a prompt that engines cache.
+// Prefix returns the hash of the part of a prompt that engines cache.
 func Prefix(prompt string) uint64 {
 	return xxhash.Sum64String(prompt[:min(len(prompt), 128)])
 }
 
+// touch caches a prefix, evicting the oldest one if the cache is full, and reports whether the
+// prefix was cached before.
 func (eng *engine) touch(prefix uint64) bool {
 	if eng.cached[prefix] {
 		return true
 	}
 	eng.cached[prefix] = true
-	eng.order = append(eng.order, prefix)
-	if len(eng.order) > cacheSize {
-		gone := eng.order[0]
-		eng.order = eng.order[1:]
-		delete(eng.cached, gone)
-		eng.evicted = append(eng.evicted, gone)
+	eng.cacheOrder = append(eng.cacheOrder, prefix)
+	if len(eng.cacheOrder) > cacheSize {
+		oldest := eng.cacheOrder[0]
+		eng.cacheOrder = eng.cacheOrder[1:]
+		delete(eng.cached, oldest)
+		eng.evicted = append(eng.evicted, oldest)
 	}
 	return false
 }
@@ -150,42 +151,42 @@
 func (eng *engine) takeEvicted() []uint64 {
 	eng.mtx.Lock()
 	defer eng.mtx.Unlock()
-	gone := eng.evicted
+	evicted := eng.evicted
 	eng.evicted = nil
-	return gone
+	return evicted
 }
 
-// work advances a generation. A fuller batch makes steps a little longer; a
+// advance generates the tokens of a stream. Steps take longer the fuller the batch is; a
 // cold prompt costs three steps before the first token.
-func (eng *engine) work(ctx context.Context, gen *generation, warm bool) {
+func (eng *engine) advance(ctx context.Context, gen *generation, warm bool) {
 	defer eng.finish(gen)
 	if !warm {
-		wait(ctx, 3*eng.stepMs)
+		sleep(ctx, 3*eng.stepMs)
 	}
-	for gen.have < gen.want && ctx.Err() == nil {
+	for gen.generated < gen.target && ctx.Err() == nil {
 		eng.mtx.Lock()
 		extra := eng.stepMs * int64(eng.running) / int64(2*eng.batch)
 		eng.mtx.Unlock()
-		wait(ctx, eng.stepMs+extra)
+		sleep(ctx, eng.stepMs+extra)
 		if !eng.inBatch(gen) {
 			continue
 		}
 		gen.mtx.Lock()
-		gen.have++
+		gen.generated++
 		gen.wake()
 		gen.mtx.Unlock()
 	}
 }
 
-// inBatch tells whether a stream is among those that this step advances: so many
-// of the highest priority, older ones first.
+// inBatch reports whether the next step advances a stream: the batch takes the streams of the
+// highest priority, among equal ones the oldest.
 func (eng *engine) inBatch(gen *generation) bool {
 	eng.mtx.Lock()
 	defer eng.mtx.Unlock()
 	ahead := 0
 	for _, oth := range eng.active {
 		higher := oth.run.Priority > gen.run.Priority
-		older := oth.run.Priority == gen.run.Priority && oth.began.Before(gen.began)
+		older := oth.run.Priority == gen.run.Priority && oth.startedAt.Before(gen.startedAt)
 		if higher || older {
 			ahead++
 		}
@@ -199,7 +200,7 @@
 	delete(eng.active, gen.run.Attempt)
 	eng.mtx.Unlock()
 	gen.mtx.Lock()
-	gen.stopped = gen.have < gen.want
+	gen.stopped = gen.generated < gen.target
 	gen.wake()
 	gen.mtx.Unlock()
 	time.AfterFunc(streamLife, func() {
@@ -212,7 +213,7 @@
 	})
 }
 
-// wake tells the readers; gen.mtx is held.
+// wake wakes the readers; the caller holds gen.mtx.
 func (gen *generation) wake() {
 	close(gen.grown)
 	gen.grown = make(chan struct{})
@@ -221,12 +222,12 @@
 func (ept *Endpoint) stream(wrt http.ResponseWriter, req *http.Request, gen *generation, from int) {
 	ept.count(1)
 	defer ept.count(-1)
-	ept.headers(wrt)
+	ept.setHeaders(wrt)
 	wrt.Header().Set("Content-Type", "text/event-stream")
 	wrt.WriteHeader(http.StatusOK)
-	cutting := ept.faults.get().CutStreams > 0 && ept.faults.use(func(flt *Faults) *int { return &flt.CutStreams })
+	cutting := ept.faults.get().CutStreams > 0 && ept.faults.take(func(flt *Faults) *int { return &flt.CutStreams })
 	attempt := gen.run.Attempt
-	if ept.faults.use(func(flt *Faults) *int { return &flt.WrongAttempt }) {
+	if ept.faults.take(func(flt *Faults) *int { return &flt.WrongAttempt }) {
 		attempt = strings.Repeat("0", len(attempt))
 	}
 	for sent := 0; ; from, sent = from+1, sent+1 {
@@ -242,19 +243,20 @@
 		}
 	}
 	gen.mtx.Lock()
-	whole := gen.have >= gen.want
+	complete := gen.generated >= gen.target
 	gen.mtx.Unlock()
-	if whole && req.Context().Err() == nil {
-		end := wire.End{Attempt: attempt, Count: gen.want, EngineMs: clock.FromDuration(time.Since(gen.began))}
+	if complete && req.Context().Err() == nil {
+		end := wire.End{Attempt: attempt, Count: gen.target, EngineMs: clock.FromDuration(time.Since(gen.startedAt))}
 		_ = wire.WriteEvent(wrt, wire.EventEnd, end)
 	}
 }
 
-// await waits for the token at an index; false when there will be none.
+// await waits for the token at an index; false if it will not be generated or the reader
+// has disconnected.
 func (gen *generation) await(ctx context.Context, index int) bool {
 	for {
 		gen.mtx.Lock()
-		have, want, stopped, grown := gen.have, gen.want, gen.stopped, gen.grown
+		have, want, stopped, grown := gen.generated, gen.target, gen.stopped, gen.grown
 		gen.mtx.Unlock()
 		if index < have {
 			return true
--- a/internal/stand/engine_test.go
+++ b/internal/stand/engine_test.go
@@ -9,9 +9,9 @@
 	"amaranthvalve/internal/wire"
 )
 
-// TestPrioritiesGoFirst: an engine's batch is full of drafts when a stream of a
-// higher priority comes. It advances at once, and a draft waits.
-func TestPrioritiesGoFirst(t *testing.T) {
+// TestHighPriorityPreempts guards against a stream of high priority that waits for a batch full
+// of streams of low priority: it must advance at once, while one of the others pauses.
+func TestHighPriorityPreempts(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	eng := NewEngine("e", 1, 2).engine
 	start := func(attempt string, priority int) *generation {
@@ -23,7 +23,7 @@
 	have := func(gen *generation) int {
 		gen.mtx.Lock()
 		defer gen.mtx.Unlock()
-		return gen.have
+		return gen.generated
 	}
 	start("one", 3)
 	second := start("two", 3)
--- a/internal/stand/faults.go
+++ b/internal/stand/faults.go
@@ -8,78 +8,80 @@
 	"amaranthvalve/internal/wire"
 )
 
-// Faults is what goes wrong at a stand-in. Numbers count down with each use.
+// Faults are the faults of a test double. Counters of requests and streams drop by one with
+// each use.
 type Faults struct {
-	// SlowMs delays each answer.
+	// SlowMs delays the processing of each request.
 	SlowMs int64 `json:"slow_ms"`
-	// Outage refuses everything with 503.
+	// Outage refuses all requests with status 503.
 	Outage bool `json:"outage"`
-	// Freeze holds every request until it is switched off.
+	// Freeze blocks all requests until it is switched off.
 	Freeze bool `json:"freeze"`
-	// LoseReplies executes the next requests and cuts the connection in place
-	// of the answer.
+	// LoseReplies executes the next requests and closes their connections instead of
+	// answering.
 	LoseReplies int `json:"lose_replies"`
-	// Cut cuts the connection before anything is executed.
+	// Cut closes the connections of the next requests and executes nothing.
 	Cut int `json:"cut"`
-	// Fail executes nothing and answers 500.
+	// Fail answers the next requests with status 500 and executes nothing.
 	Fail int `json:"fail"`
-	// Refuse answers 503 with the word that nothing ran.
+	// Refuse answers the next requests with status 503 and a header that confirms that
+	// nothing was executed.
 	Refuse int `json:"refuse"`
-	// WrongAttempt answers the next requests under another attempt's id.
+	// WrongAttempt answers the next requests under another attempt's ID.
 	WrongAttempt int `json:"wrong_attempt"`
-	// CutAfter cuts each stream after so many tokens while CutStreams lasts.
+	// CutAfter is the number of tokens after which the next CutStreams streams are cut.
 	CutAfter   int `json:"cut_after"`
 	CutStreams int `json:"cut_streams"`
-	// Leave makes an endpoint report that it is leaving.
+	// Leave has an endpoint report that it is leaving.
 	Leave bool `json:"leave"`
-	// HoldAppends takes records and puts them into the log only when it is switched off,
-	// whether their sender waits for that or not.
+	// HoldAppends delays appends to the log until it is switched off. The records are then
+	// appended even if their sender has disconnected.
 	HoldAppends bool `json:"hold_appends"`
-	// OldEnd makes reads of the log answer as if the newest records, so many,
-	// were not there yet.
+	// OldEnd is the number of newest records that reads of the log omit, as if they had
+	// not been appended yet.
 	OldEnd int `json:"old_end"`
 }
 
-// faulty holds the faults of one stand-in.
-type faulty struct {
-	mtx  sync.Mutex
-	cur  Faults
-	thaw chan struct{}
-	// release is closed when appends are held no longer.
+// faultState holds the faults of one test double.
+type faultState struct {
+	mtx      sync.Mutex
+	cur      Faults
+	unfreeze chan struct{}
+	// release is closed when appends are no longer held back; nil if none are.
 	release chan struct{}
 }
 
-func (fty *faulty) get() Faults {
-	fty.mtx.Lock()
-	defer fty.mtx.Unlock()
-	return fty.cur
+func (fst *faultState) get() Faults {
+	fst.mtx.Lock()
+	defer fst.mtx.Unlock()
+	return fst.cur
 }
 
-func (fty *faulty) set(flt Faults) {
-	fty.mtx.Lock()
-	defer fty.mtx.Unlock()
-	if fty.thaw != nil {
-		close(fty.thaw)
-		fty.thaw = nil
+func (fst *faultState) set(flt Faults) {
+	fst.mtx.Lock()
+	defer fst.mtx.Unlock()
+	if fst.unfreeze != nil {
+		close(fst.unfreeze)
+		fst.unfreeze = nil
 	}
-	if fty.release != nil {
-		close(fty.release)
-		fty.release = nil
+	if fst.release != nil {
+		close(fst.release)
+		fst.release = nil
 	}
 	if flt.Freeze {
-		fty.thaw = make(chan struct{})
+		fst.unfreeze = make(chan struct{})
 	}
 	if flt.HoldAppends {
-		fty.release = make(chan struct{})
+		fst.release = make(chan struct{})
 	}
-	fty.cur = flt
+	fst.cur = flt
 }
 
-// use takes one of a counted fault.
-func (fty *faulty) use(count func(*Faults) *int) bool {
-	fty.mtx.Lock()
-	defer fty.mtx.Unlock()
-	n := count(&fty.cur)
+// take decrements a counter and reports whether it was above 0.
+func (fst *faultState) take(count func(*Faults) *int) bool {
+	fst.mtx.Lock()
+	defer fst.mtx.Unlock()
+	n := count(&fst.cur)
 	if *n <= 0 {
 		return false
 	}
@@ -87,11 +89,11 @@
 	return true
 }
 
-// pause waits out a freeze and the slowness, or until the caller is gone.
-func (fty *faulty) pause(req *http.Request) {
-	fty.mtx.Lock()
-	thaw, slow := fty.thaw, fty.cur.SlowMs
-	fty.mtx.Unlock()
+// delay waits until a freeze ends and then for SlowMs; the caller's disconnection ends the wait.
+func (fst *faultState) delay(req *http.Request) {
+	fst.mtx.Lock()
+	thaw, slow := fst.unfreeze, fst.cur.SlowMs
+	fst.mtx.Unlock()
 	if thaw != nil {
 		select {
 		case <-thaw:
@@ -106,16 +108,17 @@
 	}
 }
 
-// held gives what ends when appends are held no longer, nil if none are.
-func (fty *faulty) held() <-chan struct{} {
-	fty.mtx.Lock()
-	defer fty.mtx.Unlock()
-	return fty.release
+// appendsReleased returns a channel that is closed when appends are no longer held back; nil if
+// none are.
+func (fst *faultState) appendsReleased() <-chan struct{} {
+	fst.mtx.Lock()
+	defer fst.mtx.Unlock()
+	return fst.release
 }
 
-func (fty *faulty) handle(wrt http.ResponseWriter, req *http.Request) {
+func (fst *faultState) handle(wrt http.ResponseWriter, req *http.Request) {
 	if req.Method == http.MethodGet {
-		wire.WriteJSON(wrt, http.StatusOK, fty.get())
+		wire.WriteJSON(wrt, http.StatusOK, fst.get())
 		return
 	}
 	var flt Faults
@@ -123,25 +126,25 @@
 		wire.WriteJSON(wrt, http.StatusBadRequest, wire.Fail{Error: err.Error()})
 		return
 	}
-	fty.set(flt)
+	fst.set(flt)
 	wire.WriteJSON(wrt, http.StatusOK, flt)
 }
 
-// guard applies the faults that need no knowledge of the request.
-func (fty *faulty) guard(next http.HandlerFunc) http.HandlerFunc {
+// guard applies the faults that do not depend on the kind of request.
+func (fst *faultState) guard(next http.HandlerFunc) http.HandlerFunc {
 	return func(wrt http.ResponseWriter, req *http.Request) {
-		fty.pause(req)
+		fst.delay(req)
 		switch {
-		case fty.get().Outage:
+		case fst.get().Outage:
 			wrt.Header().Set("Retry-After", "1")
 			wrt.Header().Set(wire.HeaderRan, wire.RanNo)
 			wire.WriteJSON(wrt, http.StatusServiceUnavailable, wire.Fail{Error: "outage"})
-		case fty.use(func(flt *Faults) *int { return &flt.Cut }):
+		case fst.take(func(flt *Faults) *int { return &flt.Cut }):
 			panic(http.ErrAbortHandler)
-		case fty.use(func(flt *Faults) *int { return &flt.Refuse }):
+		case fst.take(func(flt *Faults) *int { return &flt.Refuse }):
 			wrt.Header().Set(wire.HeaderRan, wire.RanNo)
 			wire.WriteJSON(wrt, http.StatusServiceUnavailable, wire.Fail{Error: "refused"})
-		case fty.use(func(flt *Faults) *int { return &flt.Fail }):
+		case fst.take(func(flt *Faults) *int { return &flt.Fail }):
 			wire.WriteJSON(wrt, http.StatusInternalServerError, wire.Fail{Error: "failed"})
 		default:
 			next(wrt, req)
@@ -149,9 +152,10 @@
 	}
 }
 
-// cutReply ends the connection without an answer, after the effect.
-func (fty *faulty) cutReply() {
-	if fty.use(func(flt *Faults) *int { return &flt.LoseReplies }) {
+// loseReply closes the connection without an answer if LoseReplies is set; it is called
+// after the request has been executed.
+func (fst *faultState) loseReply() {
+	if fst.take(func(flt *Faults) *int { return &flt.LoseReplies }) {
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/stand/platform.go
+++ b/internal/stand/platform.go
@@ -15,93 +15,92 @@
 	"amaranthvalve/pkg/oplog"
 )
 
-// Limits of the platform's stand-in.
+// Limits of the platform.
 const (
 	appendsPerSecond = 300
-	readMax          = 1000
-	// listTTL is how long a line of the instance list outlives its last
-	// renewal.
+	maxReadRecords   = 1000
+	// listTTL is the time after its last renewal at which an entry of the instance list
+	// expires.
 	listTTL = 10 * clock.Second
 )
 
-// Platform stands in for the log service, the instance list and the weight
-// store.
+// Platform is a test double of the log service, the instance list and the weight store.
 type Platform struct {
-	clk       clock.Clock
-	retention clock.Milli
-	listLag   clock.Milli
-	faults    faulty
-	lists     faulty
-	appends   *rate.Limiter
-	weights   *rate.Limiter
+	clk        clock.Clock
+	retention  clock.Milli
+	listLag    clock.Milli
+	logFaults  faultState
+	listFaults faultState
+	appends    *rate.Limiter
+	weights    *rate.Limiter
 
-	mtx       sync.Mutex
-	streams   map[string]*stream
-	instances map[string]listed
-	shown     []wire.Instance
-	shownAt   clock.Milli
+	mtx        sync.Mutex
+	streams    map[string]*stream
+	instances  map[string]listEntry
+	lastList   []wire.Instance
+	lastListAt clock.Milli
 }
 
 type stream struct {
 	first   int64
 	records []oplog.Record
 	grown   chan struct{}
-	// held are records of appends that are held.
-	held []json.RawMessage
+	// pending are the records whose appends are held back.
+	pending []json.RawMessage
 }
 
-type listed struct {
-	inst wire.Instance
-	at   clock.Milli
+type listEntry struct {
+	inst      wire.Instance
+	renewedAt clock.Milli
 }
 
-// NewPlatform returns a platform that keeps records for retention and whose
-// instance list shows what was true listLag ago.
+// NewPlatform returns a platform that retains records for retention and whose instance list
+// is up to listLag old.
 func NewPlatform(clk clock.Clock, retention, listLag clock.Milli) *Platform {
 	return &Platform{
 		clk: clk, retention: retention, listLag: listLag,
 		appends: rate.NewLimiter(appendsPerSecond, appendsPerSecond),
 		weights: rate.NewLimiter(1, 2),
-		streams: map[string]*stream{}, instances: map[string]listed{},
+		streams: map[string]*stream{}, instances: map[string]listEntry{},
 	}
 }
 
 // Handler serves the platform's protocol.
 func (plt *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/streams/{stream}/records", plt.faults.guard(plt.append))
-	mux.HandleFunc("GET /v1/streams/{stream}/records", plt.faults.guard(plt.read))
-	mux.HandleFunc("GET /v1/instances", plt.lists.guard(plt.list))
-	mux.HandleFunc("PUT /v1/instances/{id}", plt.lists.guard(plt.put))
-	mux.HandleFunc("DELETE /v1/instances/{id}", plt.lists.guard(plt.remove))
-	mux.HandleFunc("GET /v1/weights/{model}", plt.faults.guard(plt.weight))
-	mux.HandleFunc("/v1/faults", plt.faults.handle)
-	mux.HandleFunc("/v1/faults/list", plt.lists.handle)
+	mux.HandleFunc("POST /v1/streams/{stream}/records", plt.logFaults.guard(plt.append))
+	mux.HandleFunc("GET /v1/streams/{stream}/records", plt.logFaults.guard(plt.read))
+	mux.HandleFunc("GET /v1/instances", plt.listFaults.guard(plt.list))
+	mux.HandleFunc("PUT /v1/instances/{id}", plt.listFaults.guard(plt.put))
+	mux.HandleFunc("DELETE /v1/instances/{id}", plt.listFaults.guard(plt.remove))
+	mux.HandleFunc("GET /v1/weights/{model}", plt.logFaults.guard(plt.weight))
+	mux.HandleFunc("/v1/faults", plt.logFaults.handle)
+	mux.HandleFunc("/v1/faults/list", plt.listFaults.handle)
 	mux.HandleFunc("POST /v1/trim", plt.trimNow)
 	return mux
 }
 
-// SetFaults switches faults of the log on and off.
-func (plt *Platform) SetFaults(flt Faults) { plt.faults.set(flt) }
+// SetFaults replaces the faults of the log and the weight store.
+func (plt *Platform) SetFaults(flt Faults) { plt.logFaults.set(flt) }
 
-// Held gives the records of a stream whose appends are held, for tests.
+// Held returns a stream's records whose appends are held back, for tests.
 func (plt *Platform) Held(name string) []json.RawMessage {
 	plt.mtx.Lock()
 	defer plt.mtx.Unlock()
-	return append([]json.RawMessage(nil), plt.stream(name).held...)
+	return append([]json.RawMessage(nil), plt.stream(name).pending...)
 }
 
-// SetListFaults switches faults of the instance list on and off.
-func (plt *Platform) SetListFaults(flt Faults) { plt.lists.set(flt) }
+// SetListFaults replaces the faults of the instance list.
+func (plt *Platform) SetListFaults(flt Faults) { plt.listFaults.set(flt) }
 
-// Records gives a stream's records, for tests.
+// Records returns a stream's records, for tests.
 func (plt *Platform) Records(name string) []oplog.Record {
 	plt.mtx.Lock()
 	defer plt.mtx.Unlock()
 	return append([]oplog.Record(nil), plt.stream(name).records...)
 }
 
-// Trim forgets all records of a stream but the newest keep.
+// Trim removes all records of a stream except the newest ones, as many as keep.
 func (plt *Platform) Trim(name string, keep int) {
 	plt.mtx.Lock()
 	defer plt.mtx.Unlock()
@@ -127,37 +126,37 @@
 func (plt *Platform) append(wrt http.ResponseWriter, req *http.Request) {
 	var app wire.Append
 	if err := wire.ReadJSON(req.Body, 8<<20, &app); err != nil || len(app.Bodies) == 0 {
-		wire.WriteJSON(wrt, http.StatusBadRequest, wire.Fail{Error: "no bodies"})
+		wire.WriteJSON(wrt, http.StatusBadRequest, wire.Fail{Error: "append is not valid JSON or has no bodies"})
 		return
 	}
 	if !plt.appends.AllowN(plt.clk.Now().Time(), 1) {
 		wrt.Header().Set("Retry-After", "1")
-		wire.WriteJSON(wrt, http.StatusTooManyRequests, wire.Fail{Error: "too many appends"})
+		wire.WriteJSON(wrt, http.StatusTooManyRequests, wire.Fail{Error: "rate limit of appends exceeded"})
 		return
 	}
-	plt.hold(req.PathValue("stream"), app.Bodies)
-	first := plt.take(req.PathValue("stream"), app.Bodies)
-	plt.faults.cutReply()
+	plt.holdAppend(req.PathValue("stream"), app.Bodies)
+	first := plt.commit(req.PathValue("stream"), app.Bodies)
+	plt.logFaults.loseReply()
 	wire.WriteJSON(wrt, http.StatusOK, wire.Appended{First: first})
 }
 
-// hold waits while appends are held, whatever becomes of who sent them.
-func (plt *Platform) hold(name string, bodies []json.RawMessage) {
-	release := plt.faults.held()
+// holdAppend waits while appends are held back, even if their sender has disconnected.
+func (plt *Platform) holdAppend(name string, bodies []json.RawMessage) {
+	release := plt.logFaults.appendsReleased()
 	if release == nil {
 		return
 	}
 	plt.mtx.Lock()
 	str := plt.stream(name)
-	str.held = append(str.held, bodies...)
+	str.pending = append(str.pending, bodies...)
 	plt.mtx.Unlock()
 	<-release
 	plt.mtx.Lock()
 	defer plt.mtx.Unlock()
-	str.held = nil
+	str.pending = nil
 }
 
-func (plt *Platform) take(name string, bodies []json.RawMessage) int64 {
+func (plt *Platform) commit(name string, bodies []json.RawMessage) int64 {
 	plt.mtx.Lock()
 	defer plt.mtx.Unlock()
 	str := plt.stream(name)
@@ -175,7 +174,7 @@
 func (plt *Platform) read(wrt http.ResponseWriter, req *http.Request) {
 	from, err := strconv.ParseInt(req.FormValue("from"), 10, 64)
 	if err != nil {
-		wire.WriteJSON(wrt, http.StatusBadRequest, wire.Fail{Error: "from: not a number"})
+		wire.WriteJSON(wrt, http.StatusBadRequest, wire.Fail{Error: "from: not an integer"})
 		return
 	}
 	wait, _ := strconv.ParseInt(req.FormValue("wait_ms"), 10, 64)
@@ -186,8 +185,8 @@
 		case <-time.After(time.Duration(wait) * time.Millisecond):
 		case <-req.Context().Done():
 		}
-		plt.faults.pause(req)
-		if plt.faults.get().Outage {
+		plt.logFaults.delay(req)
+		if plt.logFaults.get().Outage {
 			wire.WriteJSON(wrt, http.StatusServiceUnavailable, wire.Fail{Error: "outage"})
 			return
 		}
@@ -201,7 +200,7 @@
 }
 
 func (plt *Platform) batch(name string, from int64) (oplog.Batch, chan struct{}) {
-	hide := plt.faults.get().OldEnd
+	hide := plt.logFaults.get().OldEnd
 	plt.mtx.Lock()
 	defer plt.mtx.Unlock()
 	str := plt.stream(name)
@@ -210,7 +209,7 @@
 	bat := oplog.Batch{Start: str.first, End: str.first + int64(len(recs)), Records: []oplog.Record{}}
 	if idx := from - str.first; idx >= 0 && idx < int64(len(recs)) {
 		recs = recs[idx:]
-		bat.Records = append(bat.Records, recs[:min(len(recs), readMax)]...)
+		bat.Records = append(bat.Records, recs[:min(len(recs), maxReadRecords)]...)
 	}
 	return bat, str.grown
 }
@@ -230,27 +229,27 @@
 }
 
 func (plt *Platform) list(wrt http.ResponseWriter, _ *http.Request) {
-	wire.WriteJSON(wrt, http.StatusOK, wire.Instances{Instances: plt.lagging()})
+	wire.WriteJSON(wrt, http.StatusOK, wire.Instances{Instances: plt.laggedList()})
 }
 
-// lagging gives the list as it was made at most listLag ago.
-func (plt *Platform) lagging() []wire.Instance {
+// laggedList returns the instance list, which is up to listLag old.
+func (plt *Platform) laggedList() []wire.Instance {
 	plt.mtx.Lock()
 	defer plt.mtx.Unlock()
 	now := plt.clk.Now()
-	if plt.shown != nil && now-plt.shownAt < plt.listLag {
-		return plt.shown
+	if plt.lastList != nil && now-plt.lastListAt < plt.listLag {
+		return plt.lastList
 	}
-	plt.shown, plt.shownAt = []wire.Instance{}, now
+	plt.lastList, plt.lastListAt = []wire.Instance{}, now
 	for id, lst := range plt.instances {
-		if now-lst.at > listTTL {
+		if now-lst.renewedAt > listTTL {
 			delete(plt.instances, id)
 			continue
 		}
-		plt.shown = append(plt.shown, lst.inst)
+		plt.lastList = append(plt.lastList, lst.inst)
 	}
-	sort.Slice(plt.shown, func(i, j int) bool { return plt.shown[i].ID < plt.shown[j].ID })
-	return plt.shown
+	sort.Slice(plt.lastList, func(i, j int) bool { return plt.lastList[i].ID < plt.lastList[j].ID })
+	return plt.lastList
 }
 
 func (plt *Platform) put(wrt http.ResponseWriter, req *http.Request) {
@@ -261,7 +260,7 @@
 	}
 	inst.ID = req.PathValue("id")
 	plt.mtx.Lock()
-	plt.instances[inst.ID] = listed{inst: inst, at: plt.clk.Now()}
+	plt.instances[inst.ID] = listEntry{inst: inst, renewedAt: plt.clk.Now()}
 	plt.mtx.Unlock()
 	wire.WriteJSON(wrt, http.StatusOK, inst)
 }
@@ -276,7 +275,7 @@
 func (plt *Platform) weight(wrt http.ResponseWriter, req *http.Request) {
 	if !plt.weights.Allow() {
 		wrt.Header().Set("Retry-After", "1")
-		wire.WriteJSON(wrt, http.StatusTooManyRequests, wire.Fail{Error: "too many loads"})
+		wire.WriteJSON(wrt, http.StatusTooManyRequests, wire.Fail{Error: "rate limit of weight loads exceeded"})
 		return
 	}
 	wire.WriteJSON(wrt, http.StatusOK, wire.Order{Model: req.PathValue("model")})
--- a/internal/stand/serve.go
+++ b/internal/stand/serve.go
@@ -11,40 +11,40 @@
 )
 
 const (
-	renewEvery = time.Second
-	renewWait  = time.Second
+	renewInterval = time.Second
+	renewTimeout  = time.Second
 )
 
-// Server is a stand-in that listens.
+// Server serves a test double on an address.
 type Server struct {
 	lsn net.Listener
 	srv *http.Server
 }
 
-// Serve serves a handler on an address until Close.
+// Serve serves a handler on an address until [Server.Close].
 func Serve(addr string, handler http.Handler) (*Server, error) {
 	lsn, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	srv := &Server{lsn: lsn, srv: &http.Server{Handler: handler, ReadHeaderTimeout: renewWait}}
+	srv := &Server{lsn: lsn, srv: &http.Server{Handler: handler, ReadHeaderTimeout: renewTimeout}}
 	go func() { _ = srv.srv.Serve(lsn) }()
 	return srv, nil
 }
 
-// Addr gives the address that the server listens on.
+// Addr returns the address that the server listens on.
 func (srv *Server) Addr() string { return srv.lsn.Addr().String() }
 
-// Close cuts all connections.
+// Close closes the listener and all connections.
 func (srv *Server) Close() { _ = srv.srv.Close() }
 
-// Enlist keeps an endpoint's line in the instance list until the context ends.
+// Enlist renews an endpoint's entry in the instance list until the context is done.
 func Enlist(ctx context.Context, platform string, inst wire.Instance) {
 	cli := platf.New(platform)
-	tkr := time.NewTicker(renewEvery)
+	tkr := time.NewTicker(renewInterval)
 	defer tkr.Stop()
 	for {
-		pctx, cancel := context.WithTimeout(ctx, renewWait)
+		pctx, cancel := context.WithTimeout(ctx, renewTimeout)
 		_ = cli.Put(pctx, inst)
 		cancel()
 		select {
