--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,9 +1,8 @@
-// Package golden runs tests that are written down as data: txtar archives in
-// testdata/ with the section "input" (and others that a test names) and the
-// section "want".
+// Package golden runs tests on golden files: txtar archives in testdata/ with the section
+// "input", other sections that a test defines and the section "want".
 //
-// With AMV_UPDATE=1 in the environment the wanted sections are written anew from
-// what the code gives; the change is then reviewed as a diff.
+// With AMV_UPDATE=1 in the environment, the sections "want" are overwritten with the actual
+// results; the change is then reviewed as a diff.
 package golden
 
 import (
@@ -19,8 +18,8 @@
 
 const wantSection = "want"
 
-// Run gives each archive of the folder's testdata that matches pattern to the
-// function and compares what it returns with the wanted section.
+// Run calls a function with the sections of each archive in testdata that matches pattern,
+// and compares its result with the section "want".
 func Run(t *testing.T, pattern string, run func(t *testing.T, sections map[string]string) string) {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join("testdata", pattern))
@@ -29,11 +28,11 @@
 	}
 	for _, path := range paths {
 		name := strings.TrimSuffix(filepath.Base(path), ".txtar")
-		t.Run(name, func(t *testing.T) { one(t, path, run) })
+		t.Run(name, func(t *testing.T) { runArchive(t, path, run) })
 	}
 }
 
-func one(t *testing.T, path string, run func(t *testing.T, sections map[string]string) string) {
+func runArchive(t *testing.T, path string, run func(t *testing.T, sections map[string]string) string) {
 	arc, err := txtar.ParseFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -48,26 +47,26 @@
 		return
 	}
 	if os.Getenv("AMV_UPDATE") == "" {
-		t.Errorf("%s: got\n%s\nwant\n%s\n(AMV_UPDATE=1 writes what it got)", path, got, want)
+		t.Errorf("%s: got\n%s\nwant\n%s\n(AMV_UPDATE=1 overwrites the golden file)", path, got, want)
 		return
 	}
 	update(t, path, arc, got)
 }
 
 func update(t *testing.T, path string, arc *txtar.Archive, got string) {
-	kept := arc.Files[:0]
+	others := arc.Files[:0]
 	for _, file := range arc.Files {
 		if file.Name != wantSection {
-			kept = append(kept, file)
+			others = append(others, file)
 		}
 	}
-	arc.Files = append(kept, txtar.File{Name: wantSection, Data: []byte(got)})
+	arc.Files = append(others, txtar.File{Name: wantSection, Data: []byte(got)})
 	if err := os.WriteFile(path, txtar.Format(arc), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// Fields splits a line "verb key=value key=value" into its verb and its values.
+// Fields splits a line of the form "verb key=value key=value" into the verb and the values by key.
 func Fields(line string) (verb string, vals map[string]string) {
 	parts := strings.Fields(line)
 	vals = map[string]string{}
@@ -78,7 +77,7 @@
 	return parts[0], vals
 }
 
-// Lines gives the lines of a section that are neither empty nor comments.
+// Lines returns the lines of a section without empty lines and comments.
 func Lines(section string) []string {
 	var lines []string
 	for line := range strings.Lines(section) {
@@ -90,42 +89,41 @@
 	return lines
 }
 
-// seed is the seed of property tests unless fresh ones are asked for.
-const seed = "20261202"
+// defaultSeed is the seed of property tests unless AMV_FRESH is set.
+const defaultSeed = "20261202"
 
-// Main runs a package's tests with fixed seeds, so that they give the same
-// verdict on every run. AMV_FRESH=1 in the environment asks for fresh seeds.
+// Main runs a package's tests with a fixed seed, so that every run has the same result.
+// With AMV_FRESH=1 in the environment, the seeds are random.
 func Main(m *testing.M) {
 	flag.Parse()
 	if os.Getenv("AMV_FRESH") == "" {
-		// Flags of the property testing library; a failure to set them would
-		// only mean that it is not linked in.
-		_ = flag.Set("rapid.seed", seed)
+		// Flags of the property testing library. Setting them fails only if the
+		// library is not linked in.
+		_ = flag.Set("rapid.seed", defaultSeed)
 		_ = flag.Set("rapid.nofailfile", "true")
 	}
 	os.Exit(m.Run())
 }
 
-// Measuring skips a test that only gives figures, unless they are asked for
-// with AMV_MEASURE=1.
+// Measuring skips a test that only measures, unless AMV_MEASURE=1 is set in the environment.
 func Measuring(t *testing.T) {
 	t.Helper()
 	if os.Getenv("AMV_MEASURE") == "" {
-		t.Skip("gives figures for docs/CAPACITY.md; AMV_MEASURE=1 asks for them")
+		t.Skip("measures for docs/CAPACITY.md; set AMV_MEASURE=1 to run it")
 	}
 }
 
-// HeapOf gives the bytes that are reachable after build and were not before it.
-// What it returns is kept alive until the second look.
+// HeapOf returns by how many bytes the reachable heap grows through build. The result of build
+// is kept alive until the second measurement.
 func HeapOf(build func() any) int64 {
-	before := heap()
+	before := heapInUse()
 	val := build()
-	after := heap()
+	after := heapInUse()
 	runtime.KeepAlive(val)
 	return after - before
 }
 
-func heap() int64 {
+func heapInUse() int64 {
 	runtime.GC()
 	runtime.GC()
 	var st runtime.MemStats
--- a/internal/known/doc.go
+++ b/internal/known/doc.go
@@ -1,3 +1,3 @@
-// Package known tells suites which of their specs KNOWN-RED.txt lists. Only functions can be
-// passed over by go test itself, and a suite is one function. It is help for tests.
+// Package known reads from KNOWN-RED.txt which specs of a suite are expected to fail. go test
+// can skip only whole test functions, and a suite is a single one. The package serves tests.
 package known
--- a/internal/known/known.go
+++ b/internal/known/known.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// Specs gives the patterns of a suite's specs that the list at a path has, in entries that
-// begin with the suite's test, a slash and the spec's text with underscores for spaces. A list
-// that can't be read has none: then all specs are run.
+// Specs returns patterns of the specs of a suite that the list at path names. Such an entry
+// begins with the suite's test function, a slash and the spec's text with underscores for
+// spaces. If the list can't be read, no specs are returned, so that all are run.
 func Specs(path, suite string) []string {
 	fil, err := os.Open(path)
 	if err != nil {
--- a/internal/known/known_test.go
+++ b/internal/known/known_test.go
@@ -8,8 +8,8 @@
 	"github.com/onsi/gomega"
 )
 
-// Guards against passing over more than the listed specs.
-func TestSpecsAreThoseOfTheSuite(t *testing.T) {
+// TestSpecsOfSuiteOnly guards against skipping specs that are not listed for the suite.
+func TestSpecsOfSuiteOnly(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	path := filepath.Join(t.TempDir(), "list.txt")
 	list := "TestOne, go test ./one, fails\nTestTwo/when_it_stops, go test ./two, failed once\nTestTwoMore/part, go test ./three, fails\n"
--- a/internal/ports/ports.go
+++ b/internal/ports/ports.go
@@ -1,9 +1,9 @@
-// Package ports finds ports for tests that start processes or instances.
+// Package ports allocates ports for tests that start processes or instances.
 //
-// A port that the machine chose and that was closed again is given to the next outgoing
-// connection of anybody, and the instance that was to listen there doesn't start. So ports
-// are taken below those that the machine gives out, on a loopback address of this test
-// process alone, and never twice.
+// A port that the kernel assigned to a listener may be assigned to any outgoing connection as
+// soon as the listener is closed; an instance that is then to listen on it fails to start.
+// Ports are therefore taken from below the kernel's ephemeral range, on a loopback address
+// that only this test process uses, and each port is allocated only once.
 package ports
 
 import (
@@ -13,40 +13,40 @@
 	"sync"
 )
 
-// Ports lie below those that Linux gives to outgoing connections (32768 and up).
+// Bounds of the allocated ports, below the ephemeral range of Linux (32768 and up).
 const (
-	first = 11000
-	last  = 30000
+	firstPort = 11000
+	lastPort  = 30000
 )
 
-// Loopback is an address on loopback of this process alone: the same tests run side by side,
-// and an instance that is down for a moment must find its ports free again.
+// Loopback is a loopback address that only this process uses: several processes may run the
+// same tests at once, and an instance that restarts must find its ports free.
 var Loopback = fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()>>16&0x3f, os.Getpid()>>8&0xff, os.Getpid()&0xff)
 
 var (
 	mtx  sync.Mutex
-	next = first
+	next = firstPort
 )
 
-// Free gives so many ports of [Loopback] that nobody listens on, by TCP or UDP, and that were
-// never given before; an error if there are no more.
+// Free allocates as many ports of [Loopback] as count, on which no TCP or UDP socket listens. It
+// fails if the range is exhausted.
 func Free(count int) ([]int, error) {
 	mtx.Lock()
 	defer mtx.Unlock()
 	var list []int
 	for len(list) < count {
 		next++
-		if next >= last {
-			return nil, fmt.Errorf("no port is left of %d to %d", first, last)
+		if next >= lastPort {
+			return nil, fmt.Errorf("no free port left in the range from %d to %d", firstPort, lastPort)
 		}
-		if free(next) {
+		if isFree(next) {
 			list = append(list, next)
 		}
 	}
 	return list, nil
 }
 
-func free(port int) bool {
+func isFree(port int) bool {
 	addr := fmt.Sprintf("%s:%d", Loopback, port)
 	lsn, err := net.Listen("tcp", addr)
 	if err != nil {
