--- a/internal/mutant/doc.go
+++ b/internal/mutant/doc.go
@@ -1,7 +1,8 @@
-// Package mutant shows that each safeguard is needed: it takes one out in a copy
-// of the tree and runs the test that is meant for it, which must then fail.
+// Package mutant has mutation tests, which show that each safeguard is needed: each removes one
+// safeguard in a copy of the tree and runs the test that covers it, which must then fail.
 //
-// Each archive in testdata names the promise, a file, the text to replace, what
-// to put there, and the arguments of go test. It takes minutes, so that it is no
-// part of CI: AMV_MUTANTS=1 go test -count=1 -v -timeout 60m ./internal/mutant
+// Each archive in testdata describes what goes wrong without the safeguard, with the number of
+// the broken promise if it has one, and contains a file name, the text to replace, its
+// replacement and the arguments of go test. The tests take minutes and are not part of CI:
+// AMV_MUTANTS=1 go test -count=1 -v -timeout 60m ./internal/mutant
 package mutant
--- a/internal/mutant/mutant_test.go
+++ b/internal/mutant/mutant_test.go
@@ -12,42 +12,42 @@
 
 const root = "../.."
 
-// parallel bounds how many copies are tested at once.
-const parallel = 3
+// maxParallel is the maximum number of copies that are tested at once.
+const maxParallel = 3
 
 func TestSafeguardsAreNeeded(t *testing.T) {
 	if os.Getenv("AMV_MUTANTS") == "" {
-		t.Skip("takes minutes; AMV_MUTANTS=1 asks for it")
+		t.Skip("takes minutes; set AMV_MUTANTS=1 to run it")
 	}
 	paths, err := filepath.Glob("testdata/*.txtar")
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("no archives: %v", err)
+		t.Fatalf("testdata: no archives (%v)", err)
 	}
-	places := make(chan struct{}, parallel)
+	slots := make(chan struct{}, maxParallel)
 	for _, path := range paths {
 		t.Run(strings.TrimSuffix(filepath.Base(path), ".txtar"), func(t *testing.T) {
 			t.Parallel()
-			places <- struct{}{}
-			defer func() { <-places }()
-			try(t, path)
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			testMutant(t, path)
 		})
 	}
 }
 
-// TestArchivesFit holds the archives against the tree: each text to replace
-// stands in its file just once.
+// TestArchivesFit checks that the text to replace occurs exactly once in the file that its
+// archive names.
 func TestArchivesFit(t *testing.T) {
 	paths, _ := filepath.Glob("testdata/*.txtar")
 	for _, path := range paths {
-		mut := read(t, path)
+		mut := parseArchive(t, path)
 		text, err := os.ReadFile(filepath.Join(root, mut["file"]))
 		if err != nil || strings.Count(string(text), mut["old"]) != 1 {
-			t.Errorf("%s: the text stands %d times in %s (%v)", path, strings.Count(string(text), mut["old"]), mut["file"], err)
+			t.Errorf("%s: the text to replace occurs %d times in %s, not once (%v)", path, strings.Count(string(text), mut["old"]), mut["file"], err)
 		}
 	}
 }
 
-func read(t *testing.T, path string) map[string]string {
+func parseArchive(t *testing.T, path string) map[string]string {
 	arc, err := txtar.ParseFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -59,9 +59,9 @@
 	return mut
 }
 
-// try takes one safeguard out and runs its test.
-func try(t *testing.T, path string) {
-	mut := read(t, path)
+// testMutant removes one safeguard in a copy of the tree and expects its test to fail.
+func testMutant(t *testing.T, path string) {
+	mut := parseArchive(t, path)
 	dir := t.TempDir()
 	copyTree(t, dir)
 	target := filepath.Join(dir, mut["file"])
@@ -71,7 +71,7 @@
 	}
 	changed := strings.Replace(string(text), mut["old"], mut["new"], 1)
 	if changed == string(text) {
-		t.Fatalf("%s: nothing to replace", mut["file"])
+		t.Fatalf("%s: the text to replace does not occur, or equals its replacement", mut["file"])
 	}
 	if err := os.WriteFile(target, []byte(changed), 0o644); err != nil {
 		t.Fatal(err)
@@ -82,11 +82,11 @@
 	out, err := cmd.CombinedOutput()
 	switch {
 	case err == nil:
-		t.Errorf("the safeguard was out and its test passed")
+		t.Errorf("the test passed without the safeguard")
 	case strings.Contains(string(out), "[build failed]") || strings.Contains(string(out), "[setup failed]"):
-		t.Errorf("the copy does not build:\n%s", out)
+		t.Errorf("the copy without the safeguard does not build:\n%s", out)
 	default:
-		t.Logf("fails without the safeguard, as it must")
+		t.Logf("the test failed without the safeguard, as expected")
 	}
 }
 
