--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -97,7 +97,7 @@
 	}
 	cls.servers = append(cls.servers, srv)
 	inst := wire.Instance{ID: handler.ID(), Addr: srv.Addr(), Pool: pool, Zone: zone, State: wire.StateLive}
-	go stand.Enlist(ctx, "http://"+cls.platform.Addr(), inst)
+	go stand.Register(ctx, "http://"+cls.platform.Addr(), inst)
 	return nil
 }
 
--- a/internal/entry/docs_test.go
+++ b/internal/entry/docs_test.go
@@ -117,7 +117,7 @@
 		for i := range wld.nodes {
 			expect(wld.call(i, "planning", wire.Submit{Input: "x", MaxTokens: 1}).Outcome).To(equal("done"))
 		}
-		wld.plt.SetFaults(stand.Faults{OldEnd: 3})
+		wld.plt.SetFaults(stand.Faults{HideNewest: 3})
 		for _, nod := range wld.nodes {
 			until(5*time.Second, func() bool {
 				_, text := get("http://" + nod.OpsAddr() + "/metrics")
--- a/internal/entry/once_test.go
+++ b/internal/entry/once_test.go
@@ -29,7 +29,7 @@
 		sub.DeadlineMs = shortMs
 		answers[sub.Key] = wld.call(0, "booking", sub)
 		expect(answers[sub.Key].Outcome).To(equal("not_run"), answers[sub.Key].Reason)
-		for _, body := range wld.plt.Held("claims") {
+		for _, body := range wld.plt.PendingAppends("claims") {
 			var ent claim.Entry
 			expect(json.Unmarshal(body, &ent)).To(gomega.Succeed())
 			key = strings.TrimPrefix(ent.Key, claim.FullKey(workspace, "booking", ""))
--- a/internal/entry/world_test.go
+++ b/internal/entry/world_test.go
@@ -117,7 +117,7 @@
 		wld.servers[ept.ID()] = srv
 		wld.pools[pool] = append(wld.pools[pool], ept)
 		inst := wire.Instance{ID: ept.ID(), Addr: srv.Addr(), Pool: pool, Zone: "dc1", State: wire.StateLive}
-		go stand.Enlist(wld.ctx, "http://"+wld.platform.Addr(), inst)
+		go stand.Register(wld.ctx, "http://"+wld.platform.Addr(), inst)
 	}
 }
 
--- a/internal/feed/append_test.go
+++ b/internal/feed/append_test.go
@@ -32,7 +32,7 @@
 	plt.SetFaults(stand.Faults{HoldAppends: true})
 	until := clock.Clock{}.Now() + clock.Minute
 	app.Add(Record{Body: json.RawMessage(`"ahead"`), Expires: until})
-	gom.Eventually(func() int { return len(plt.Held(platf.StreamClaims)) }).Should(gomega.Equal(1))
+	gom.Eventually(func() int { return len(plt.PendingAppends(platf.StreamClaims)) }).Should(gomega.Equal(1))
 	var over atomic.Bool
 	app.Add(Record{Body: json.RawMessage(`"given up"`), Expires: until, Cancelled: over.Load})
 	app.Add(Record{Body: json.RawMessage(`"behind"`), Expires: until})
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -105,17 +105,17 @@
 	os.Exit(m.Run())
 }
 
-// Measuring skips a test that only measures, unless AMV_MEASURE=1 is set in the environment.
-func Measuring(t *testing.T) {
+// SkipUnlessMeasuring skips a test that only measures, unless AMV_MEASURE=1 is set in the environment.
+func SkipUnlessMeasuring(t *testing.T) {
 	t.Helper()
 	if os.Getenv("AMV_MEASURE") == "" {
 		t.Skip("measures for docs/CAPACITY.md; set AMV_MEASURE=1 to run it")
 	}
 }
 
-// HeapOf returns by how many bytes the reachable heap grows through build. The result of build
+// HeapGrowth returns by how many bytes the reachable heap grows through build. The result of build
 // is kept alive until the second measurement.
-func HeapOf(build func() any) int64 {
+func HeapGrowth(build func() any) int64 {
 	before := heapInUse()
 	val := build()
 	after := heapInUse()
--- a/internal/node/cutoff_test.go
+++ b/internal/node/cutoff_test.go
@@ -60,9 +60,9 @@
 		}
 	}
 	for _, ep := range stp.engines {
-		ep.DelayedTakes = event
+		ep.DelayedDuration = event
 		for range 100 {
-			ep.Fault(fake.Delayed)
+			ep.QueueFaults(fake.Delayed)
 		}
 	}
 	return stp
@@ -82,7 +82,7 @@
 	for i := range stp.nodes {
 		ak := ask{path: path, id: fmt.Sprintf("r%d", stp.count), header: map[string]string{fake.HeaderDeadline: deadline}}
 		if path == staged {
-			ak.header[fake.HeaderPieces], ak.header[fake.HeaderPieceKey] = "1,1", "pk"
+			ak.header[fake.HeaderItems], ak.header[fake.HeaderItemKey] = "1,1", "pk"
 		}
 		stp.count++
 		stp.ends.Go(func() {
@@ -138,9 +138,9 @@
 func TestStopAnswersWhatNoEndpointHas(t *testing.T) {
 	stp := newStops(t, 2, 0)
 	for _, ep := range stp.makers {
-		ep.DelayedTakes = 5 * time.Second
+		ep.DelayedDuration = 5 * time.Second
 		for range 20 {
-			ep.Fault(fake.Delayed)
+			ep.QueueFaults(fake.Delayed)
 		}
 	}
 	stp.sendAll(staged, "15000")
--- a/internal/node/explain_test.go
+++ b/internal/node/explain_test.go
@@ -54,7 +54,7 @@
 		wld := newWorld(2)
 		staged := func(node int, id, left, key string) got {
 			return wld.send(node, ask{path: "/stream-staged/x", id: id, body: "the same", header: map[string]string{
-				fake.HeaderPieces: "1,1", fake.HeaderPieceKey: key, fake.HeaderDeadline: left,
+				fake.HeaderItems: "1,1", fake.HeaderItemKey: key, fake.HeaderDeadline: left,
 			}})
 		}
 		expect(staged(0, "first", "30", "pk1").status).To(equal(http.StatusServiceUnavailable))
@@ -77,14 +77,14 @@
 		wld := newWorld(1)
 		staged := func(id, left string) got {
 			return wld.send(0, ask{path: "/stream-staged/x", id: id, header: map[string]string{
-				fake.HeaderPieces: "1,1", fake.HeaderPieceKey: "pk", fake.HeaderDeadline: left,
+				fake.HeaderItems: "1,1", fake.HeaderItemKey: "pk", fake.HeaderDeadline: left,
 			}})
 		}
 		expect(staged("refused", "30").status).To(equal(http.StatusServiceUnavailable))
 		eventually(func() string { return lbf.explain("refused") }, soon).Should(gomega.MatchRegexp(`request ended: .*outcome=not_run reason=hopeless detail=\d+ ms are needed and \d+ left`))
 
 		for _, mkr := range wld.makers {
-			mkr.Takes = 150 * time.Millisecond
+			mkr.Duration = 150 * time.Millisecond
 		}
 		expect(staged("late", "4000").status).To(equal(http.StatusOK))
 		eventually(func() string { return lbf.explain("late") }, soon).Should(gomega.MatchRegexp(`(?s)stage slow or failed: .*pool=rosters.*took_ms=\d{3}.*request ended: .*outcome=done.*staged_ms=\d{3}`))
--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -86,7 +86,7 @@
 
 // arm has an engine end, its entry go and another one come.
 func (crs *crashes) arm(ep *fake.Endpoint, srv *stand.Server) {
-	ep.EndsOn(deadly, func() {
+	ep.CrashOn(deadly, func() {
 		crs.mtx.Lock()
 		crs.reached = append(crs.reached, time.Now())
 		crs.mtx.Unlock()
@@ -175,7 +175,7 @@
 			fault(wld.plain, fake.Cuts, fake.Cuts)
 			expect(wld.send(i%2, ask{path: "/booking/x", body: "cut"}).status).To(equal(http.StatusBadGateway))
 			for _, ep := range wld.plain {
-				ep.Mend()
+				ep.ClearFaults()
 			}
 		}
 		var grp sync.WaitGroup
@@ -187,7 +187,7 @@
 			}
 			wld.plain = []*fake.Endpoint{ep}
 			eventually(func() bool { return wld.nodes[0].pools.HasUsable("bookings", 1) }, soon).Should(gomega.BeTrue())
-			ep.Fault(fake.Hangs)
+			ep.QueueFaults(fake.Hangs)
 			grp.Go(func() { wld.send(0, ask{path: "/booking/x", body: "left"}) })
 			eventually(func() int { return len(ep.Runs()) }, soon).Should(equal(1))
 			wld.entry("bookings", id, wld.servers[id].Addr(), true)
@@ -280,7 +280,7 @@
 			}, soon).Should(gomega.BeNumerically(">=", ended+2))
 			time.Sleep(2 * backAfterEnd)
 			for _, ep := range crs.all() {
-				ep.EndsOn("", nil)
+				ep.CrashOn("", nil)
 			}
 			expect(crs.repeat(time.Millisecond)[0].status).To(equal(http.StatusOK))
 			crs.rearm()
@@ -297,12 +297,12 @@
 		}
 		time.Sleep(2 * backAfterEnd)
 		for _, ep := range crs.all() {
-			ep.EndsOn("", nil)
-			ep.Fault(fake.Fails)
+			ep.CrashOn("", nil)
+			ep.QueueFaults(fake.Fails)
 		}
 		expect(crs.repeat(time.Millisecond)[0].status).To(equal(http.StatusInternalServerError))
 		for _, ep := range crs.all() {
-			ep.Mend()
+			ep.ClearFaults()
 		}
 		crs.rearm()
 		wld.send(0, ask{path: "/stream-once/plan", body: deadly})
@@ -318,14 +318,14 @@
 	ginkgo.It("has no further stage begun", func() {
 		wld := newWorld(1)
 		for _, ep := range wld.makers {
-			ep.DelayedTakes = 300 * time.Millisecond
-			ep.Fault(fake.Delayed)
+			ep.DelayedDuration = 300 * time.Millisecond
+			ep.QueueFaults(fake.Delayed)
 		}
-		came := func() int { return len(wld.makers[0].Came()) + len(wld.makers[1].Came()) }
+		came := func() int { return len(wld.makers[0].Arrivals()) + len(wld.makers[1].Arrivals()) }
 		before := came()
 		answer := make(chan got, 1)
 		go func() {
-			answer <- wld.send(0, ask{path: staged, body: deadly, header: map[string]string{fake.HeaderPieces: "1,1", fake.HeaderPieceKey: "pk"}})
+			answer <- wld.send(0, ask{path: staged, body: deadly, header: map[string]string{fake.HeaderItems: "1,1", fake.HeaderItemKey: "pk"}})
 		}()
 		eventually(came, soon).Should(gomega.BeNumerically(">", before))
 		for i := range 3 {
@@ -334,7 +334,7 @@
 		var ans got
 		eventually(answer, soon).Should(gomega.Receive(&ans))
 		expect(ans.body).To(gomega.ContainSubstring(`"quarantined"`))
-		for _, call := range slices.Concat(wld.makers[0].Calls(), wld.makers[1].Calls()) {
+		for _, call := range slices.Concat(wld.makers[0].Batches(), wld.makers[1].Batches()) {
 			expect(call).To(gomega.HaveEach(gomega.HaveSuffix("/0/0")))
 		}
 		eventually(func() int { return held(wld.makers) }, soon).Should(gomega.BeZero())
@@ -345,7 +345,7 @@
 		wld := newWorld(4)
 		crs := wld.endsEngines(4)
 		for _, ep := range wld.engines {
-			ep.Takes = 600 * time.Millisecond
+			ep.Duration = 600 * time.Millisecond
 		}
 		wld.endedBefore(11 * clock.Minute)
 		first := make(chan got, 1)
@@ -372,7 +372,7 @@
 		fault(wld.engines, fake.Shed, fake.Shed, fake.Shed, fake.Shed)
 		expect(wld.send(0, ask{path: "/stream-once/plan", body: deadly}).body).NotTo(gomega.ContainSubstring(`"quarantined"`))
 		for _, ep := range wld.engines {
-			ep.Mend()
+			ep.ClearFaults()
 		}
 		time.Sleep(300 * time.Millisecond)
 		for range 3 {
--- a/internal/node/rate_test.go
+++ b/internal/node/rate_test.go
@@ -26,7 +26,7 @@
 // mostCame gives the most requests that came to an endpoint within the window, from an instant
 // on.
 func mostCame(ep *fake.Endpoint, from time.Time) int {
-	most, came := 0, ep.Came()
+	most, came := 0, ep.Arrivals()
 	for i, first := range came {
 		count := 0
 		for _, at := range came[i:] {
@@ -68,7 +68,7 @@
 var (
 	toEngines = ask{path: "/stream-once/x", body: "plan"}
 	toPlain   = ask{path: "/log/x", method: http.MethodGet}
-	toMakers  = ask{path: "/stream-staged/x", header: map[string]string{fake.HeaderPieces: "2,1", fake.HeaderPieceKey: "k"}}
+	toMakers  = ask{path: "/stream-staged/x", header: map[string]string{fake.HeaderItems: "2,1", fake.HeaderItemKey: "k"}}
 )
 
 var _ = ginkgo.Describe("an endpoint that names a rate", func() {
@@ -83,7 +83,7 @@
 		}{{toEngines, wld.engines, 1}, {toPlain, wld.plain, 1}, {toMakers, wld.makers, 2}}
 		for _, ep := range wld.makers {
 			// One maker by itself is too slow for what is asked.
-			ep.Takes = 200 * time.Millisecond
+			ep.Duration = 200 * time.Millisecond
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 9*time.Second)
 		defer cancel()
@@ -96,7 +96,7 @@
 		grp.Wait()
 		for _, knd := range kinds {
 			expect(mostCame(knd.eps[0], began.Add(spreadWithin))).To(gomega.BeNumerically("<=", allowedCame(knd.rate)), knd.ask.path)
-			expect(len(knd.eps[0].Came())).To(gomega.BeNumerically(">", 4), "%s left idle", knd.ask.path)
+			expect(len(knd.eps[0].Arrivals())).To(gomega.BeNumerically(">", 4), "%s left idle", knd.ask.path)
 		}
 	})
 
@@ -124,7 +124,7 @@
 		<-done
 		expect(mostCame(wld.engines[0], began.Add(spreadWithin))).To(gomega.BeNumerically("<=", allowedCame(2)))
 		last := killed
-		for _, at := range wld.engines[0].Came() {
+		for _, at := range wld.engines[0].Arrivals() {
 			if at.After(killed) {
 				expect(at.Sub(last)).To(gomega.BeNumerically("<", 6*time.Second))
 				last = at
@@ -148,7 +148,7 @@
 		ends := wld.load(short, toPlain, 20)
 		expect(mostCame(wld.plain[0], from)).To(gomega.BeNumerically("<=", allowedCame(1)))
 		expect(ends).To(gomega.HaveLen(1))
-		wld.plain[0].Unname()
+		wld.plain[0].ClearRate()
 		short, cancel = context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		from = time.Now()
@@ -206,11 +206,11 @@
 			last := wld.nodes[0].ctl.View().Coordinators(knd.pool)[2]
 			asker := slices.IndexFunc(wld.nodes, func(nod *Node) bool { return nod.ctl.Self() == last })
 			off.Store(int32(asker + 1))
-			before := len(knd.ep.Came())
+			before := len(knd.ep.Arrivals())
 			for range 40 {
 				expect(wld.send(asker, knd.ask).status).To(equal(http.StatusOK))
 			}
-			expect(len(knd.ep.Came())).To(equal(before), knd.pool)
+			expect(len(knd.ep.Arrivals())).To(equal(before), knd.pool)
 			off.Store(0)
 		}
 	})
@@ -223,9 +223,9 @@
 		for range 20 {
 			expect(wld.send(0, toPlain).status).To(equal(http.StatusOK))
 		}
-		wld.plain[1].DelayedTakes = 1500 * time.Millisecond
+		wld.plain[1].DelayedDuration = 1500 * time.Millisecond
 		for range 3 {
-			wld.plain[1].Fault(fake.Delayed)
+			wld.plain[1].QueueFaults(fake.Delayed)
 			expect(wld.send(0, toPlain).status).To(equal(http.StatusOK))
 		}
 	})
--- a/internal/node/requests_test.go
+++ b/internal/node/requests_test.go
@@ -64,7 +64,7 @@
 			expect(wld.send(0, ask{path: "/booking/x"}).status).To(equal(http.StatusBadGateway))
 			expect(runs(wld.plain)).To(gomega.HaveLen(before + 1))
 			for _, ep := range wld.plain {
-				ep.Mend()
+				ep.ClearFaults()
 			}
 		}
 	})
@@ -74,7 +74,7 @@
 	// told 503 with when to come back, and nothing has run.
 	ginkgo.It("goes to another endpoint when nothing ran", func() {
 		wld := newWorld(1)
-		wld.plain[0].Fault(fake.Shed)
+		wld.plain[0].QueueFaults(fake.Shed)
 		expect(wld.send(0, ask{path: "/booking/x"}).status).To(equal(http.StatusOK))
 		expect(wld.send(0, ask{path: "/booking/x"}).status).To(equal(http.StatusOK))
 		expect(runs(wld.plain)).To(gomega.HaveLen(2))
@@ -110,8 +110,8 @@
 		for range 5 {
 			expect(wld.send(0, ask{path: "/log/x", method: http.MethodGet}).status).To(equal(http.StatusOK))
 		}
-		wld.plain[0].Fault(fake.Hangs)
-		wld.plain[0].Fault(fake.Hangs)
+		wld.plain[0].QueueFaults(fake.Hangs)
+		wld.plain[0].QueueFaults(fake.Hangs)
 		ran := len(wld.plain[0].Runs())
 		// Until one has met it.
 		for sent := 0; sent < 4 || len(wld.plain[0].Runs()) == ran; sent++ {
@@ -120,7 +120,7 @@
 			expect(time.Since(began)).To(gomega.BeNumerically("<", 900*time.Millisecond))
 		}
 		for _, ep := range wld.plain {
-			ep.Mend()
+			ep.ClearFaults()
 		}
 		wld.publish(func(doc *fake.Document) { doc.Timeouts = map[string]int{"booking": 900} })
 		eventually(func() int64 { return wld.nodes[0].ctl.View().Plan().Version() }, soon).Should(equal(int64(wld.version)))
@@ -134,7 +134,7 @@
 	ginkgo.It("that may be repeated is left at its endpoint once its token is gone", func() {
 		wld := newWorld(1)
 		for _, ep := range wld.plain {
-			ep.Takes, ep.DelayedTakes = 100*time.Millisecond, 2*time.Second
+			ep.Duration, ep.DelayedDuration = 100*time.Millisecond, 2*time.Second
 		}
 		for range 5 {
 			expect(wld.send(0, ask{path: "/log/x", method: http.MethodGet}).status).To(equal(http.StatusOK))
@@ -159,13 +159,13 @@
 	ginkgo.It("that waits for an endpoint is not sent once its token is gone", func() {
 		wld := newWorld(1)
 		patient := func(doc *fake.Document) {
-			doc.Timeouts, doc.Goals = map[string]int{"booking": 20000}, map[string]int{"booking": 16000}
+			doc.Timeouts, doc.TargetLatencies = map[string]int{"booking": 20000}, map[string]int{"booking": 16000}
 		}
 		wld.publish(patient)
 		known := func() int64 { return wld.nodes[0].ctl.View().Plan().Version() }
 		eventually(known, soon).Should(equal(int64(wld.version)))
 		for _, ep := range wld.plain {
-			ep.Takes = time.Second
+			ep.Duration = time.Second
 		}
 		book := func(id string) got {
 			return wld.send(0, ask{path: "/booking/x", id: id, header: map[string]string{fake.HeaderDeadline: "20000"}})
@@ -231,7 +231,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		defer cancel()
 		expect(wld.sendCtx(ctx, 0, ask{path: "/booking/x"}).err).To(anything())
-		eventually(func() int { return wld.plain[0].Left() + wld.plain[1].Left() }, 500*time.Millisecond).Should(equal(1))
+		eventually(func() int { return wld.plain[0].Disconnects() + wld.plain[1].Disconnects() }, 500*time.Millisecond).Should(equal(1))
 	})
 
 	// An endpoint hangs until the route's time is up. The caller gets its final
@@ -255,12 +255,12 @@
 	ginkgo.It("goes on at another engine after the last whole event", func() {
 		wld := newWorld(1)
 		first := wld.engines[0]
-		first.Fault(fake.CutsMidway)
+		first.QueueFaults(fake.CutsMidway)
 		ans := wld.send(0, ask{path: "/stream/x", id: "s1"})
 		if len(first.Runs()) == 0 {
 			// The request went to the other one; this time the first is full.
-			wld.engines[1].Fault(fake.CutsMidway)
-			first.Mend()
+			wld.engines[1].QueueFaults(fake.CutsMidway)
+			first.ClearFaults()
 			ans = wld.send(0, ask{path: "/stream/x", id: "s1"})
 		}
 		expect(ans.err).NotTo(anything())
@@ -287,13 +287,13 @@
 	ginkgo.It("runs with the results of its stages, which are given back", func() {
 		wld := newWorld(2)
 		ans := wld.send(0, ask{path: "/stream-staged/x", id: "st1", header: map[string]string{
-			fake.HeaderPieces: "2,3", fake.HeaderPieceKey: "pk",
+			fake.HeaderItems: "2,3", fake.HeaderItemKey: "pk",
 		}})
 		expect(ans.status).To(equal(http.StatusOK), ans.body)
 		expect(ans.body).To(equal(whole))
 		var calls [][]string
 		for _, mkr := range wld.makers {
-			calls = append(calls, mkr.Calls()...)
+			calls = append(calls, mkr.Batches()...)
 		}
 		pieces := slices.Sorted(slices.Values(slices.Concat(calls...)))
 		expect(pieces).To(equal([]string{"st1/0/0", "st1/0/1", "st1/1/0", "st1/1/1", "st1/1/2"}))
@@ -314,12 +314,12 @@
 		go func() {
 			defer ginkgo.GinkgoRecover()
 			wld.sendCtx(ctx, 0, ask{path: "/stream-staged/x", header: map[string]string{
-				fake.HeaderPieces: "2,3", fake.HeaderPieceKey: "pk",
+				fake.HeaderItems: "2,3", fake.HeaderItemKey: "pk",
 			}})
 		}()
 		eventually(func() int { return len(runs(wld.engines)) }, soon).Should(equal(1))
 		eventually(func() int { return held(wld.makers) }, time.Second).Should(equal(0))
-		expect(wld.engines[0].Left()+wld.engines[1].Left()).To(equal(0), "the engine still works")
+		expect(wld.engines[0].Disconnects()+wld.engines[1].Disconnects()).To(equal(0), "the engine still works")
 	})
 
 	// One instance gathers the pieces of a pool that has work for seconds. A caller with
@@ -328,7 +328,7 @@
 	ginkgo.It("is refused at once when the queue at another instance is too long for it", func() {
 		wld := newWorld(2)
 		for _, mkr := range wld.makers {
-			mkr.Takes = 300 * time.Millisecond
+			mkr.Duration = 300 * time.Millisecond
 		}
 		home := 0
 		if wld.nodes[0].ctl.View().Coordinators("rosters")[0] != wld.nodes[0].ctl.Self() {
@@ -336,7 +336,7 @@
 		}
 		staged := func(ctx context.Context, node int, left string) got {
 			return wld.sendCtx(ctx, node, ask{path: "/stream-staged/x", header: map[string]string{
-				fake.HeaderPieces: "4,1", fake.HeaderPieceKey: "pk", fake.HeaderDeadline: left,
+				fake.HeaderItems: "4,1", fake.HeaderItemKey: "pk", fake.HeaderDeadline: left,
 			}})
 		}
 		ctx, cancel := context.WithCancel(context.Background())
@@ -347,7 +347,7 @@
 				staged(ctx, home, "20000")
 			}()
 		}
-		eventually(func() int { return len(wld.makers[0].Calls()) + len(wld.makers[1].Calls()) }, soon).Should(gomega.BeNumerically(">=", 2))
+		eventually(func() int { return len(wld.makers[0].Batches()) + len(wld.makers[1].Batches()) }, soon).Should(gomega.BeNumerically(">=", 2))
 		began := time.Now()
 		ans := staged(context.Background(), 1-home, "1500")
 		expect(ans.status).To(equal(http.StatusServiceUnavailable))
@@ -360,18 +360,18 @@
 	ginkgo.It("gives back what a stage has fetched while its call is under way", func() {
 		wld := newWorld(2)
 		for _, mkr := range wld.makers {
-			mkr.Takes = 300 * time.Millisecond
+			mkr.Duration = 300 * time.Millisecond
 		}
 		done := make(chan got, 1)
 		go func() {
 			defer ginkgo.GinkgoRecover()
 			done <- wld.send(0, ask{path: "/stream-staged/x", id: "early", header: map[string]string{
-				fake.HeaderPieces: "1,1", fake.HeaderPieceKey: "pk",
+				fake.HeaderItems: "1,1", fake.HeaderItemKey: "pk",
 			}})
 		}()
 		eventually(func() int { return held(wld.makers) }, soon).Should(equal(1))
 		eventually(func() int { return held(wld.makers) }, soon).Should(equal(0))
-		expect(len(wld.makers[0].Calls()) + len(wld.makers[1].Calls())).To(equal(1))
+		expect(len(wld.makers[0].Batches()) + len(wld.makers[1].Batches())).To(equal(1))
 		var ans got
 		eventually(done, soon).Should(gomega.Receive(&ans))
 		expect(ans.status).To(equal(http.StatusOK))
@@ -384,7 +384,7 @@
 		wld := newWorld(2)
 		staged := func() got {
 			return wld.send(0, ask{path: "/stream-staged/x", header: map[string]string{
-				fake.HeaderPieces: "1,1", fake.HeaderPieceKey: "pk",
+				fake.HeaderItems: "1,1", fake.HeaderItemKey: "pk",
 			}})
 		}
 		lose := func(times int) {
@@ -406,14 +406,14 @@
 	ginkgo.It("whose caller leaves gives back what was made for it", func() {
 		wld := newWorld(2)
 		for _, mkr := range wld.makers {
-			mkr.Takes = 200 * time.Millisecond
+			mkr.Duration = 200 * time.Millisecond
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 		defer cancel()
 		wld.sendCtx(ctx, 1, ask{path: "/stream-staged/x", header: map[string]string{
-			fake.HeaderPieces: "1,1", fake.HeaderPieceKey: "pk",
+			fake.HeaderItems: "1,1", fake.HeaderItemKey: "pk",
 		}})
-		eventually(func() int { return len(wld.makers[0].Calls()) + len(wld.makers[1].Calls()) }, soon).Should(gomega.BeNumerically(">=", 1))
+		eventually(func() int { return len(wld.makers[0].Batches()) + len(wld.makers[1].Batches()) }, soon).Should(gomega.BeNumerically(">=", 1))
 		eventually(func() int { return held(wld.makers) }, soon).Should(equal(0))
 		expect(runs(wld.engines)).To(gomega.BeEmpty())
 	})
@@ -429,24 +429,24 @@
 		}
 		// The first stage is made, the second one is refused until its time is up.
 		mkr := wld.makers[0]
-		mkr.Fault(fake.None)
+		mkr.QueueFaults(fake.None)
 		for range 1000 {
-			mkr.Fault(fake.Shed)
+			mkr.QueueFaults(fake.Shed)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		done := make(chan got, 1)
 		go func() {
 			done <- wld.sendCtx(ctx, 1, ask{path: "/stream-staged/x", header: map[string]string{
-				fake.HeaderPieces: "1,1", fake.HeaderPieceKey: "pk",
+				fake.HeaderItems: "1,1", fake.HeaderItemKey: "pk",
 			}})
 		}()
-		eventually(mkr.Held, soon).Should(equal(1))
-		expect(mkr.Calls()).To(gomega.HaveLen(1))
+		eventually(mkr.ResultCount, soon).Should(equal(1))
+		expect(mkr.Batches()).To(gomega.HaveLen(1))
 		cancel()
 		eventually(done, soon).Should(gomega.Receive())
-		eventually(mkr.Held, soon).Should(equal(0))
-		expect(mkr.Calls()).To(gomega.HaveLen(1))
+		eventually(mkr.ResultCount, soon).Should(equal(0))
+		expect(mkr.Batches()).To(gomega.HaveLen(1))
 		expect(runs(wld.engines)).To(gomega.BeEmpty())
 	})
 
@@ -460,7 +460,7 @@
 		}
 		wld.nodes[dead].Kill()
 		ans := wld.send(1-dead, ask{path: "/stream-staged/x", header: map[string]string{
-			fake.HeaderPieces: "1,1", fake.HeaderPieceKey: "pk",
+			fake.HeaderItems: "1,1", fake.HeaderItemKey: "pk",
 		}})
 		expect(ans.body).To(equal(whole))
 	})
--- a/internal/node/state_test.go
+++ b/internal/node/state_test.go
@@ -28,7 +28,7 @@
 		eventually(func() int { return wld.send(0, ask{path: "/booking/x"}).status }, 2*soon).Should(equal(http.StatusServiceUnavailable))
 		eventually(func() int { return wld.send(1, ask{path: "/booking/x"}).status }, soon).Should(equal(http.StatusServiceUnavailable))
 		expect(wld.send(0, ask{path: "/open/x"}).status).To(equal(http.StatusOK))
-		wld.store.SetMode(fake.Well)
+		wld.store.SetMode(fake.Healthy)
 		eventually(func() int { return wld.send(0, ask{path: "/booking/x"}).status }, 2*soon).Should(equal(http.StatusOK))
 	})
 
@@ -92,7 +92,7 @@
 	ginkgo.It("ends without cutting anything off", func() {
 		wld := newWorld(2)
 		for _, ep := range wld.plain {
-			ep.Takes = 500 * time.Millisecond
+			ep.Duration = 500 * time.Millisecond
 		}
 		done := make(chan got, 1)
 		go func() { done <- wld.send(0, ask{path: "/booking/x"}) }()
@@ -117,7 +117,7 @@
 		wld := newWorld(1)
 		nod := wld.nodes[0]
 		for _, ep := range wld.plain {
-			ep.Takes = 400 * time.Millisecond
+			ep.Duration = 400 * time.Millisecond
 		}
 		for range 3 {
 			expect(wld.send(0, ask{path: "/booking/x"}).status).To(equal(http.StatusOK))
@@ -179,7 +179,7 @@
 			expect(wy.calls.Load()-before[i]).To(gomega.BeNumerically("<=", most), "calls of instance %d", i)
 			expect(wy.calls.Load()-before[i]).To(gomega.BeNumerically(">=", 1), "calls of instance %d", i)
 		}
-		wld.store.SetMode(fake.Well)
+		wld.store.SetMode(fake.Healthy)
 		// Whoever is told by a reader knows what was true a good second ago.
 		for _, nod := range wld.nodes {
 			eventually(func() clock.Milli { return nod.ctl.View().Age(nod.clk.Now()) }, 2*time.Second).Should(gomega.BeNumerically("<", 1500), "%s", nod.ctl.Self())
@@ -239,5 +239,5 @@
 
 // entries gives how many addresses an instance names.
 func (wld *world) entries(node int) int {
-	return len(fake.Addresses(client, wld.nodes[node].set.EntriesAddr()))
+	return len(fake.Resolve(client, wld.nodes[node].set.EntriesAddr()))
 }
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -66,15 +66,15 @@
 		home := slices.IndexFunc(wld.nodes, func(nod *Node) bool { return nod.ctl.Self() == gatherer })
 		expect(home).To(gomega.BeNumerically(">=", 0))
 		for _, mkr := range wld.makers {
-			mkr.Takes = 300 * time.Millisecond
+			mkr.Duration = 300 * time.Millisecond
 		}
 		done := make(chan got, 1)
 		go func() {
 			defer ginkgo.GinkgoRecover()
 			// Fifteen calls, two at once.
-			done <- wld.send(1-home, ask{path: "/stream-staged/x", header: map[string]string{fake.HeaderPieces: "60,1", fake.HeaderPieceKey: "pk"}})
+			done <- wld.send(1-home, ask{path: "/stream-staged/x", header: map[string]string{fake.HeaderItems: "60,1", fake.HeaderItemKey: "pk"}})
 		}()
-		eventually(func() int { return len(wld.makers[0].Calls()) + len(wld.makers[1].Calls()) }, soon).Should(gomega.BeNumerically(">=", 1))
+		eventually(func() int { return len(wld.makers[0].Batches()) + len(wld.makers[1].Batches()) }, soon).Should(gomega.BeNumerically(">=", 1))
 		began := time.Now()
 		wld.nodes[home].Stop(context.Background())
 		expect(time.Since(began)).To(gomega.BeNumerically("<", 5*time.Second))
@@ -83,7 +83,7 @@
 		expect(ans.status).To(equal(http.StatusOK), ans.body)
 		made := map[string]int{}
 		for _, mkr := range wld.makers {
-			for _, call := range mkr.Calls() {
+			for _, call := range mkr.Batches() {
 				for _, piece := range call {
 					made[piece]++
 				}
--- a/internal/node/world_test.go
+++ b/internal/node/world_test.go
@@ -106,7 +106,7 @@
 		wld.start()
 	}
 	wld.defers(func() {
-		wld.store.SetMode(fake.Well)
+		wld.store.SetMode(fake.Healthy)
 		for _, wy := range wld.ways {
 			wy.cut.Store(false)
 		}
@@ -274,7 +274,7 @@
 // fault makes the next request meet a fault, wherever it goes.
 func fault(list []*fake.Endpoint, faults ...fake.Fault) {
 	for _, ep := range list {
-		ep.Fault(faults...)
+		ep.QueueFaults(faults...)
 	}
 }
 
@@ -282,7 +282,7 @@
 func held(list []*fake.Endpoint) int {
 	sum := 0
 	for _, ep := range list {
-		sum += ep.Held()
+		sum += ep.ResultCount()
 	}
 	return sum
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -270,7 +270,7 @@
 // TestSlopes measures the cost of the link on the wire, with IP and UDP headers: a handshake, a
 // probe with its answer, and an idle connection.
 func TestSlopes(t *testing.T) {
-	golden.Measuring(t)
+	golden.SkipUnlessMeasuring(t)
 	ath := newAuthority(t)
 	one, two := openLink(t, ath, "10.20.1.11:7300#0123456789abcdef"), openLink(t, ath, "10.20.1.12:7300#0123456789abcdef")
 	rly := newUDPRelay(t, two.Addr())
@@ -307,7 +307,7 @@
 	}
 	time.Sleep(100 * time.Millisecond)
 	t.Logf("one probe a second: %d bytes a second both ways", (rly.bytes.Load()-before)/5)
-	held := golden.HeapOf(func() any {
+	held := golden.HeapGrowth(func() any {
 		for range 20 {
 			three := openLink(t, ath, "x#1")
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
--- a/internal/shell/script_test.go
+++ b/internal/shell/script_test.go
@@ -56,7 +56,7 @@
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	go stand.Enlist(ctx, "http://"+plt.Addr(), wire.Instance{ID: "booking-1", Addr: ept.Addr(), Pool: "booking", Zone: "dc1", State: wire.StateLive})
+	go stand.Register(ctx, "http://"+plt.Addr(), wire.Instance{ID: "booking-1", Addr: ept.Addr(), Pool: "booking", Zone: "dc1", State: wire.StateLive})
 	// An instance that reads the list before the endpoint stands in it reads it again
 	// a second later; the script would find no endpoint meanwhile.
 	if err := waitListed(ctx, plt.Addr()); err != nil {
--- a/internal/shell/stand.go
+++ b/internal/shell/stand.go
@@ -97,7 +97,7 @@
 
 func (flg *enlistFlags) serve(con *console, ept *stand.Endpoint) error {
 	return serveUntilSignal(con, flg.Listen, ept.Handler(), func(ctx context.Context, addr string) {
-		stand.Enlist(ctx, flg.Platform, wire.Instance{ID: flg.ID, Addr: addr, Pool: flg.Pool, Zone: flg.Zone, State: wire.StateLive})
+		stand.Register(ctx, flg.Platform, wire.Instance{ID: flg.ID, Addr: addr, Pool: flg.Pool, Zone: flg.Zone, State: wire.StateLive})
 	})
 }
 
--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -183,7 +183,7 @@
 func (clr *caller) fetchAddresses() []string {
 	cli := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for range 3 {
-		if list := fake.Addresses(cli, clr.sr.insts[clr.rng.IntN(len(clr.sr.insts))].entriesAddr); len(list) > 0 {
+		if list := fake.Resolve(cli, clr.sr.insts[clr.rng.IntN(len(clr.sr.insts))].entriesAddr); len(list) > 0 {
 			return list
 		}
 	}
@@ -245,7 +245,7 @@
 	}
 	headers := map[string]string{}
 	if knd.items != "" {
-		headers[fake.HeaderPieces], headers[fake.HeaderPieceKey] = knd.items, "pk-"+att.id
+		headers[fake.HeaderItems], headers[fake.HeaderItemKey] = knd.items, "pk-"+att.id
 	}
 	att.incarnation, _, _ = ins.processState()
 	steady := ins.steady(att.sent)
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -196,7 +196,7 @@
 	sr.markAllDisturbed(time.Now().Add(span))
 	sr.store.SetMode([]fake.Mode{fake.Busy, fake.Silent, fake.Lossy, fake.Slow}[sr.drawInt(4)])
 	time.Sleep(span)
-	sr.store.SetMode(fake.Well)
+	sr.store.SetMode(fake.Healthy)
 	sr.markAllDisturbed(time.Now())
 }
 
@@ -271,7 +271,7 @@
 	}
 	all := []fake.Fault{fake.Shed, fake.Fails, fake.Cuts, fake.CutsMidway, fake.Foreign, fake.Unsigned, fake.Hangs}
 	for range 2 + sr.drawInt(4) {
-		ep.Fault(all[sr.drawInt(len(all))])
+		ep.QueueFaults(all[sr.drawInt(len(all))])
 	}
 }
 
@@ -314,7 +314,7 @@
 
 // heal ends all faults and starts the instances that are down.
 func (sr *soakRun) heal() {
-	sr.store.SetMode(fake.Well)
+	sr.store.SetMode(fake.Healthy)
 	for _, ins := range sr.insts {
 		ins.storeProxy.set(stateForward)
 		ins.frontProxy.set(stateForward)
@@ -327,6 +327,6 @@
 	}
 	for _, ep := range sr.eps {
 		ep.proxy.set(stateForward)
-		ep.Mend()
+		ep.ClearFaults()
 	}
 }
--- a/internal/soak/poison_test.go
+++ b/internal/soak/poison_test.go
@@ -91,7 +91,7 @@
 	runs := map[string][]fake.Run{}
 	for _, ep := range sr.eps {
 		for _, run := range ep.Runs() {
-			if run.Fault == fake.Ends {
+			if run.Fault == fake.Crashes {
 				runs[run.ID] = append(runs[run.ID], run)
 			}
 		}
--- a/internal/soak/rates_test.go
+++ b/internal/soak/rates_test.go
@@ -42,7 +42,7 @@
 	sr.mtx.Unlock()
 	ep.SetRate(dcl.perSecond)
 	time.Sleep(rateDuration)
-	ep.Unname()
+	ep.ClearRate()
 }
 
 // checkRates checks that from settleTime after an endpoint first declared a rate, steady
--- a/internal/soak/run_test.go
+++ b/internal/soak/run_test.go
@@ -199,8 +199,8 @@
 		panic(err)
 	}
 	ep.SetAddr(ep.proxy.addr())
-	ep.Takes, ep.Lasts = 5*time.Millisecond, sr.answerTime
-	ep.EndsOn(poisonText, func() { sr.crashEndpoint(ep) })
+	ep.Duration, ep.DurationOf = 5*time.Millisecond, sr.answerTime
+	ep.CrashOn(poisonText, func() { sr.crashEndpoint(ep) })
 	sr.eps = append(sr.eps, ep)
 	sr.store.PutEndpoint(ep.ID(), fake.Entry(pool, ep.proxy.addr(), false))
 }
--- a/internal/stand/faults.go
+++ b/internal/stand/faults.go
@@ -37,9 +37,9 @@
 	// HoldAppends delays appends to the log until it is switched off. The records are then
 	// appended even if their sender has disconnected.
 	HoldAppends bool `json:"hold_appends"`
-	// OldEnd is the number of newest records that reads of the log omit, as if they had
+	// HideNewest is the number of newest records that reads of the log omit, as if they had
 	// not been appended yet.
-	OldEnd int `json:"old_end"`
+	HideNewest int `json:"old_end"`
 }
 
 // faultState holds the faults of one test double.
--- a/internal/stand/platform.go
+++ b/internal/stand/platform.go
@@ -83,8 +83,8 @@
 // SetFaults replaces the faults of the log and the weight store.
 func (plt *Platform) SetFaults(flt Faults) { plt.logFaults.set(flt) }
 
-// Held returns a stream's records whose appends are held back, for tests.
-func (plt *Platform) Held(name string) []json.RawMessage {
+// PendingAppends returns a stream's records whose appends are held back, for tests.
+func (plt *Platform) PendingAppends(name string) []json.RawMessage {
 	plt.mtx.Lock()
 	defer plt.mtx.Unlock()
 	return append([]json.RawMessage(nil), plt.stream(name).pending...)
@@ -200,7 +200,7 @@
 }
 
 func (plt *Platform) batch(name string, from int64) (oplog.Batch, chan struct{}) {
-	hide := plt.logFaults.get().OldEnd
+	hide := plt.logFaults.get().HideNewest
 	plt.mtx.Lock()
 	defer plt.mtx.Unlock()
 	str := plt.stream(name)
--- a/internal/stand/serve.go
+++ b/internal/stand/serve.go
@@ -38,8 +38,8 @@
 // Close closes the listener and all connections.
 func (srv *Server) Close() { _ = srv.srv.Close() }
 
-// Enlist renews an endpoint's entry in the instance list until the context is done.
-func Enlist(ctx context.Context, platform string, inst wire.Instance) {
+// Register renews an endpoint's entry in the instance list until the context is done.
+func Register(ctx context.Context, platform string, inst wire.Instance) {
 	cli := platf.New(platform)
 	tkr := time.NewTicker(renewInterval)
 	defer tkr.Stop()
--- a/pkg/claim/slope_test.go
+++ b/pkg/claim/slope_test.go
@@ -13,7 +13,7 @@
 
 // TestSlopes measures the cost of a key: memory and time per record.
 func TestSlopes(t *testing.T) {
-	golden.Measuring(t)
+	golden.SkipUnlessMeasuring(t)
 	for _, keys := range []int{10_000, 100_000} {
 		var ldg Ledger
 		recs := make([]oplog.Record, 0, 2*keys)
@@ -28,7 +28,7 @@
 			size += len(ent.Encode())
 		}
 		began := time.Now()
-		held := golden.HeapOf(func() any { ldg.Apply(recs); return &ldg })
+		held := golden.HeapGrowth(func() any { ldg.Apply(recs); return &ldg })
 		runtime.KeepAlive(recs)
 		t.Logf("%d keys: %d bytes held a key, %d bytes in the log a key, %v a record", keys, held/int64(keys), size/keys, time.Since(began)/time.Duration(2*keys))
 	}
--- a/pkg/member/slope_test.go
+++ b/pkg/member/slope_test.go
@@ -13,7 +13,7 @@
 // TestSlopes measures the cost of a member, and how long a newly applied offset takes to
 // become known to a publisher, at today's size and at 390 instances.
 func TestSlopes(t *testing.T) {
-	golden.Measuring(t)
+	golden.SkipUnlessMeasuring(t)
 	for _, n := range []int{9, 100, 390} {
 		grp := newGroup(n)
 		for i := range n {
@@ -21,7 +21,7 @@
 				grp.lists[name(i)].Merge([]Update{{ID: name(j), Zone: "dc1", Caller: name(j).Addr(), Seq: 1}}, grp.now)
 			}
 		}
-		bytes := golden.HeapOf(func() any { return copyOf(grp, n) }) / int64(n)
+		bytes := golden.HeapGrowth(func() any { return copyOf(grp, n) }) / int64(n)
 		grp.run(5 * clock.Second)
 		lst := grp.lists[name(0)]
 		began := time.Now()
--- a/pkg/oplog/slope_test.go
+++ b/pkg/oplog/slope_test.go
@@ -23,12 +23,12 @@
 // TestSlopes measures the cost of documents of several sizes: memory, time to apply an
 // offer, and text size.
 func TestSlopes(t *testing.T) {
-	golden.Measuring(t)
+	golden.SkipUnlessMeasuring(t)
 	const services = 17
 	for _, workspaces := range []int{5, 100, 1100} {
 		var reg Registry
 		var took time.Duration
-		held := golden.HeapOf(func() any {
+		held := golden.HeapGrowth(func() any {
 			for i := range services {
 				service := fmt.Sprintf("service-%d", i)
 				ent := Entry{Kind: KindOffer, ID: service, Service: service, Text: large(service, workspaces)}
--- a/pkg/route/slope_test.go
+++ b/pkg/route/slope_test.go
@@ -9,9 +9,9 @@
 
 // TestSlopes measures the memory per endpoint.
 func TestSlopes(t *testing.T) {
-	golden.Measuring(t)
+	golden.SkipUnlessMeasuring(t)
 	for _, n := range []int{31, 1000, 12000} {
-		held := golden.HeapOf(func() any {
+		held := golden.HeapGrowth(func() any {
 			pl := New("dc1", rand.New(rand.NewPCG(1, 1)))
 			pl.Sync(endpoints(n))
 			return pl
