--- a/internal/engin/twice_test.go
+++ b/internal/engin/duplicate_test.go
@@ -20,9 +20,9 @@
 	"amaranthvalve/pkg/ident"
 )
 
-// answerTwice answers each request on a connection twice, with the second answer
-// sent after the next request may have begun.
-func answerTwice(conn net.Conn) {
+// serveDuplicates answers each request on a connection twice. The second answer is sent when
+// the next request has arrived.
+func serveDuplicates(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	rdr := bufio.NewReader(conn)
 	stale := ""
@@ -44,10 +44,9 @@
 	}
 }
 
-// TestEndpointAnswersTwice: an endpoint sends its answer to a request once more
-// when the next request comes over the same connection. Each caller gets its own
-// answer or is told that none came, and never the one before.
-func TestEndpointAnswersTwice(t *testing.T) {
+// Guards against a duplicate answer that is matched to the next request on the same connection.
+// Each caller must get its own answer or an error, never the answer before.
+func TestDuplicateResponses(t *testing.T) {
 	zlog.RedirectLibraries(zerolog.Nop())
 	gom := gomega.NewWithT(t)
 	lsn, err := net.Listen("tcp", "127.0.0.1:0")
@@ -59,7 +58,7 @@
 			if err != nil {
 				return
 			}
-			go answerTwice(conn)
+			go serveDuplicates(conn)
 		}
 	}()
 	cli := New()
--- a/internal/engin/engin.go
+++ b/internal/engin/engin.go
@@ -1,10 +1,9 @@
-// Package engin speaks to endpoints: it runs a stage once, reads an engine's
-// stream, gives orders and asks for reports.
+// Package engin is the client of endpoints: it runs a stage once, reads the stream of an
+// engine, sends orders and requests reports.
 //
-// It never tries anything twice. What it adds to the bare call is a truthful
-// [ending.Ending]: whether it is proved that nothing was sent, or that nothing ran, or
-// whether the work may have run without an answer. Retries are decided by
-// package stage from the ending and the document.
+// It never sends anything twice. In addition to the answer it returns an exact [ending.Ending]:
+// whether it is proved that nothing was sent, or that nothing ran, or whether the work may have
+// run without an answer. Package stage decides about retries from the ending and the document.
 package engin
 
 import (
@@ -27,10 +26,10 @@
 	"amaranthvalve/pkg/ending"
 )
 
-// maxAnswer bounds an endpoint's answer, in bytes.
+// maxAnswer bounds the answer of an endpoint, in bytes.
 const maxAnswer = 8 << 20
 
-// Client speaks to endpoints.
+// Client is a client of endpoints.
 type Client struct {
 	svc httpc.Service
 }
@@ -38,17 +37,17 @@
 // New returns a client.
 func New() *Client { return &Client{svc: platf.NewService("endpoint")} }
 
-// Report is what an endpoint said of itself along with an answer.
+// Report is what an endpoint reports of itself in the headers of an answer.
 type Report struct {
 	load    int
 	hasLoad bool
 	leaving bool
 }
 
-// Load gives the requests queued or running there, if it was said.
+// Load returns the number of requests queued or running at the endpoint, if reported.
 func (rep Report) Load() (int, bool) { return rep.load, rep.hasLoad }
 
-// Leaving tells whether the endpoint said that it is leaving.
+// Leaving reports whether the endpoint is leaving.
 func (rep Report) Leaving() bool { return rep.leaving }
 
 func readReport(res *http.Response) Report {
@@ -72,31 +71,31 @@
 	if err != nil || json.Unmarshal(text, &ran) != nil {
 		return wire.RunResult{}, rep, ending.Broken(ctx)
 	}
-	// A late answer of an abandoned attempt, or one meant for another caller,
-	// must never be matched to this request: a conflict check would answer
-	// somebody else's booking.
+	// A late answer to an abandoned attempt, or one meant for another caller, must never be
+	// matched to this request: otherwise a conflict check would be answered with the booking of
+	// another caller.
 	if ran.Attempt != run.Attempt {
 		return wire.RunResult{}, rep, ending.Foreign
 	}
 	return ran, rep, ending.Answered
 }
 
-// Generate starts a generation and hands each token to take, in order and
-// without a gap from run.From. It gives the index after the last token handed
-// on. Only a closing event with the right count makes the ending Answered.
+// Generate starts a generation and passes each token to take, in order and without a gap from
+// run.From. It returns the index after the last token passed. The ending is Answered only after
+// a closing event with the right count.
 func (cli *Client) Generate(ctx context.Context, addr string, run wire.Run, take func(wire.Token) error) (int, wire.End, Report, ending.Ending) {
 	res, end := cli.post(ctx, addr, "/v1/generate", run)
 	return readStream(ctx, res, end, run.Attempt, run.From, take)
 }
 
-// Resume takes up an engine's stream at an index.
+// Resume continues the stream of an engine at an index.
 func (cli *Client) Resume(ctx context.Context, addr, attempt string, from int, take func(wire.Token) error) (int, wire.End, Report, ending.Ending) {
 	path := "/v1/streams/" + url.PathEscape(attempt) + "?from=" + strconv.Itoa(from)
 	res, end := cli.do(ctx, http.MethodGet, addr, path, nil, attempt)
 	return readStream(ctx, res, end, attempt, from, take)
 }
 
-// Cancel frees an engine of a stream that nobody waits for.
+// Cancel cancels an abandoned stream at its engine.
 func (cli *Client) Cancel(ctx context.Context, addr, attempt string) {
 	res, _ := cli.do(ctx, http.MethodDelete, addr, "/v1/streams/"+url.PathEscape(attempt), nil, attempt)
 	if res != nil {
@@ -104,7 +103,7 @@
 	}
 }
 
-// Load asks an endpoint for its report.
+// Load requests the report of an endpoint.
 func (cli *Client) Load(ctx context.Context, addr string) (wire.Load, bool) {
 	res, end := cli.do(ctx, http.MethodGet, addr, "/v1/load", nil, "")
 	if res == nil {
@@ -116,8 +115,7 @@
 	return rep, ok
 }
 
-// Order gives an endpoint an order. Refused tells that the fencing number was
-// old.
+// Order sends an order to an endpoint. The ending is Refused if the fencing token was outdated.
 func (cli *Client) Order(ctx context.Context, addr string, ord wire.Order) ending.Ending {
 	res, end := cli.post(ctx, addr, "/v1/orders", ord)
 	if res == nil {
@@ -226,7 +224,8 @@
 			if json.Unmarshal(data, &last) != nil || last.Attempt != attempt {
 				return from, wire.End{}, ending.Foreign
 			}
-			// A stream that closes early is a cut one, whatever it says.
+			// A stream that closes before its last token is cut, whatever its closing event
+			// states.
 			if last.Count != from {
 				return from, wire.End{}, ending.Cut
 			}
--- a/internal/walk/walk.go
+++ b/internal/walk/walk.go
@@ -1,12 +1,11 @@
-// Package walk takes one request through the graph of its stages, in both kinds of
-// instance.
+// Package walk runs one request through the graph of its stages, in both kinds of instance.
 //
-// A stage begins as soon as what it takes is made, beside whatever still runs (package
-// graph). What a stage is, a call with an effect or pieces that other instances gather,
-// is its caller's matter; so is what a failure means. What is the same for all is here:
-// that a failed stage ends those beside it, since nobody can use what they make, and that
-// each of them is still heard to its end, because what it made or set off is there
-// whatever became of the request.
+// A stage starts as soon as its inputs are available, in parallel with whatever still runs
+// (package graph). What a stage is, a call with an effect or items that other instances batch,
+// and what a failure means is decided by the caller. This package has what is common to all: a
+// failed stage cancels those in parallel to it, because their results can't be used, and the
+// end of each of them is still awaited, because its results or effects exist whatever the
+// outcome of the request.
 package walk
 
 import (
@@ -16,59 +15,59 @@
 	"amaranthvalve/pkg/graph"
 )
 
-// Word is what a walk is told when a stage has ended.
+// Word is how a walk continues after the end of a stage.
 type Word int
 
-// The words.
+// The ways to continue.
 const (
-	// Made: the stage is done, and what takes its results may begin.
+	// Made: the stage is done, and stages that depend on it may start.
 	Made Word = iota
-	// Undone: the graph's run was set back, and goes on from there.
+	// Undone: the run of the graph was reset, and continues from there.
 	Undone
-	// Failed: the request can't be answered; nothing more begins.
+	// Failed: the request can't be answered; no further stage starts.
 	Failed
 )
 
-// Steps are what a walk does with stages. All but what Begin gives are called by the
-// goroutine of the walk, so that they need no lock among themselves.
+// Steps are the callbacks of a walk. All except the function that Begin returns are called by
+// the goroutine of the walk, so that they need no locks among themselves.
 type Steps[T any] struct {
-	// Span gives what a stage that begins now would take, waiting included.
+	// Span estimates the time of a stage that starts now, queueing included.
 	Span func(stg int) clock.Milli
-	// Begin prepares a stage that begins now and gives what runs it.
+	// Begin prepares a stage that starts now and returns the function that runs it.
 	Begin func(stg int) func(ctx context.Context) T
-	// Ended is told how a stage ended.
+	// Ended is called when a stage has ended.
 	Ended func(stg int, out T) Word
-	// Unused is told of stages whose results nobody will take any more; it may be nil.
+	// Unused is called for a stage whose results are no longer needed; it may be nil.
 	Unused func(stg int)
-	// Left is told how a stage ended that was under way when another had failed.
+	// Left is called at the end of a stage that was running when another one failed.
 	Left func(stg int, out T)
 }
 
-// ended is the end of a stage.
-type ended[T any] struct {
+// stageEnd is the end of a stage.
+type stageEnd[T any] struct {
 	stg int
 	out T
 }
 
-// All walks until all stages are done, or one has failed; false then. It returns when
-// nothing that it began is under way any more.
+// All runs all stages and returns true, or false if one has failed. It returns after everything
+// that it started has ended.
 func All[T any](ctx context.Context, run *graph.Run, stp Steps[T]) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ends := make(chan ended[T])
-	under := 0
+	ends := make(chan stageEnd[T])
+	running := 0
 	for !run.Over() {
 		for _, stg := range run.Start(stp.Span) {
 			work := stp.Begin(stg)
-			under++
-			go func() { ends <- ended[T]{stg: stg, out: work(ctx)} }()
+			running++
+			go func() { ends <- stageEnd[T]{stg: stg, out: work(ctx)} }()
 		}
 		end := <-ends
-		under--
+		running--
 		switch stp.Ended(end.stg, end.out) {
 		case Failed:
 			cancel()
-			for ; under > 0; under-- {
+			for ; running > 0; running-- {
 				late := <-ends
 				stp.Left(late.stg, late.out)
 			}
--- a/internal/walk/walk_test.go
+++ b/internal/walk/walk_test.go
@@ -12,22 +12,24 @@
 	"amaranthvalve/pkg/graph"
 )
 
-// chat is a chain of two stages beside one that takes nothing, and one that takes both.
-func chat(t *testing.T) *graph.Run {
+// newRun returns the run of a graph in which a chain of two stages runs in parallel with a
+// third one, and a last stage depends on both.
+func newRun(t *testing.T) *graph.Run {
 	gr, err := graph.New([][]int{{}, {}, {1}, {0, 2}})
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
 	return gr.Run(func(int) bool { return false })
 }
 
-func even(int) clock.Milli { return 10 }
+func constantEstimate(int) clock.Milli { return 10 }
 
-// TestAllAreMade: each stage runs once, after what it takes, and results are told as
-// unused once their last taker is done.
-func TestAllAreMade(t *testing.T) {
+// Guards against stages that run twice or before their inputs are available, and against
+// results that are never reported as unused: they are once the last stage that depends on them
+// is done.
+func TestEachStageRunsOnce(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	var order, unused []int
-	ok := All(context.Background(), chat(t), Steps[int]{
-		Span:   even,
+	ok := All(context.Background(), newRun(t), Steps[int]{
+		Span:   constantEstimate,
 		Begin:  func(stg int) func(context.Context) int { return func(context.Context) int { return stg } },
 		Ended:  func(_, out int) Word { order = append(order, out); return Made },
 		Unused: func(stg int) { unused = append(unused, stg) },
@@ -39,17 +41,17 @@
 	gom.Expect(unused).To(gomega.ConsistOf(0, 1, 2))
 }
 
-// TestFailureEndsTheOthers: a stage fails while another one is at work. The other's
-// context ends at once, for nobody can use what it makes; and it is heard to its end, for
-// what it made takes room, and what it set off has run.
-func TestFailureEndsTheOthers(t *testing.T) {
+// Guards against stages left running when a parallel one fails. The context of the other stage
+// must end at once, because its result can't be used. Its end must still be awaited, because
+// its results occupy storage and its effects have happened.
+func TestFailureCancelsOthers(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	began := make(chan struct{})
 	var left []int
 	done := make(chan bool)
 	go func() {
-		done <- All(context.Background(), chat(t), Steps[string]{
-			Span: even,
+		done <- All(context.Background(), newRun(t), Steps[string]{
+			Span: constantEstimate,
 			Begin: func(stg int) func(context.Context) string {
 				if stg == 0 {
 					return func(ctx context.Context) string {
@@ -78,18 +80,18 @@
 		gom.Expect(ok).To(gomega.BeFalse())
 		gom.Expect(left).To(gomega.Equal([]int{0}))
 	case <-time.After(5 * time.Second):
-		t.Fatal("the walk waits for a stage that was not ended")
+		t.Fatal("the walk still waits for a stage that should have been cancelled")
 	}
 }
 
-// TestUndoneGoesOn: the inputs of a stage were lost. Whoever walks takes the run back;
-// what was lost is made again, and the walk ends well.
-func TestUndoneGoesOn(t *testing.T) {
+// Guards against a walk that ends or hangs when the inputs of a stage are lost. The caller
+// resets the run, the lost results are recomputed, and the walk completes.
+func TestResetStagesRunAgain(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	run := chat(t)
+	run := newRun(t)
 	times := map[int]int{}
 	ok := All(context.Background(), run, Steps[int]{
-		Span:  even,
+		Span:  constantEstimate,
 		Begin: func(stg int) func(context.Context) int { return func(context.Context) int { return stg } },
 		Ended: func(stg, _ int) Word {
 			times[stg]++
