--- a/internal/contr/claims.go
+++ b/internal/contr/claims.go
@@ -17,39 +17,40 @@
 )
 
 const (
-	// logSilence is how long the claims' stream may be silent before a claim is
-	// refused at once in place of being tried.
-	logSilence = 3 * clock.Second
-	// outageRetry is when to come back in an outage of the log.
-	outageRetry = 2 * clock.Second
-	// settleLife is how long a release or settlement is tried to be appended.
-	settleLife = claim.MaxLife
-	// maxAnswers bounds the large answers kept by their holder.
-	maxAnswers = 1024
-	// lateClaim is how long after giving up a claim may still appear.
-	lateClaim = 10 * clock.Minute
-	// meetFor is how long a new instance may need to meet the others.
-	meetFor = 5 * clock.Second
+	// maxLogAge is the age of the claims log up to which a claim is appended. Beyond it the
+	// claim is refused at once, because its append is unlikely to be confirmed.
+	maxLogAge = 3 * clock.Second
+	// outageRetryAfter is the retry-after delay during an outage of the log.
+	outageRetryAfter = 2 * clock.Second
+	// settleTimeout bounds the attempts to append a release or a settlement.
+	settleTimeout = claim.MaxLife
+	// maxLargeAnswers bounds the answers kept in memory because they are too large for the log.
+	maxLargeAnswers = 1024
+	// lateClaimWindow is the time after which the claim of an abandoned attempt is no longer
+	// expected in the log.
+	lateClaimWindow = 10 * clock.Minute
+	// discoveryGrace is the time that a new instance may need to discover the other members.
+	discoveryGrace = 5 * clock.Second
 )
 
-// claimsCtl keeps the keys of non-idempotent requests.
+// claimsCtl tracks the keys of non-idempotent requests.
 type claimsCtl struct {
 	ctl     *Control
 	ldg     claim.Ledger
-	desk    claim.Tickets
+	tickets claim.Tickets
 	app     *feed.Appender
 	logAsOf clock.Milli
-	waiting map[string][]*asking
-	// abandoned are attempts that were answered without having been run while
-	// their claim may still be on its way into the log.
-	abandoned map[string]clock.Milli
-	answers   map[string]string
-	order     []string
+	waiting map[string][]*pendingClaim
+	// abandoned has the attempts that were answered as not run while their claims may still
+	// reach the log, with the time of abandonment.
+	abandoned   map[string]clock.Milli
+	answers     map[string]string
+	answerOrder []string
 }
 
-// ClaimAsk is a request that wants to run under a key.
-type ClaimAsk struct {
-	// Boot is the boot number that the key is bound to, if it is a ticket.
+// ClaimRequest identifies an attempt that asks to run under a key.
+type ClaimRequest struct {
+	// Boot is the boot number of the instance that issued the key, if the key is a ticket.
 	Boot    string
 	Key     string
 	Attempt string
@@ -57,37 +58,37 @@
 	Expires clock.Milli
 }
 
-// Claimed is what became of it: Run, Answer or Refuse.
-type Claimed struct {
+// ClaimResult is the outcome of a claim: Run, Answer or Refuse.
+type ClaimResult struct {
 	Move   claim.Move
 	Result outcm.Result
 	Answer string
-	// Looked tells that the key was found in the log, so that a refusal speaks
-	// of the request and not of the attempt.
-	Looked bool
+	// LookedUp reports whether the state of the key was known. A refusal then applies to the
+	// request as a whole and not only to this attempt.
+	LookedUp bool
 }
 
-type asking struct {
-	ask ClaimAsk
-	// since is when it was asked, by the caller's goroutine.
-	since    clock.Milli
-	appended bool
-	done     bool
-	// over is done for the appender's goroutine.
-	over  atomic.Bool
-	reply chan Claimed
+type pendingClaim struct {
+	req ClaimRequest
+	// requestedAt is set by the caller's goroutine.
+	requestedAt clock.Milli
+	appended    bool
+	done        bool
+	// cancelled is the equivalent of done that the appender's goroutine may read.
+	cancelled atomic.Bool
+	reply     chan ClaimResult
 }
 
 func (cct *claimsCtl) tail(ctx context.Context) {
-	feed.Tail(ctx, cct.ctl.feed(), feed.Consumer{
+	feed.Tail(ctx, cct.ctl.feedSetup(), feed.Consumer{
 		Do:     cct.ctl.Do,
 		Stream: platf.StreamClaims,
 		Next:   cct.ldg.Next,
 		Apply: func(recs []oplog.Record, now clock.Milli) {
 			changes, _ := cct.ldg.Apply(recs)
 			for _, chg := range changes {
-				cct.clearLate(chg, now)
-				cct.judgeAll(chg.Key, now)
+				cct.releaseLate(chg, now)
+				cct.advanceAll(chg.Key, now)
 			}
 		},
 		Restart:  func(start int64) { cct.ldg.Restart(start, cct.ctl.set.Clock.Now()) },
@@ -95,10 +96,9 @@
 	})
 }
 
-// clearLate releases a claim that came into the log after its attempt had been
-// given up. Without it the key would be held by an attempt that nobody makes,
-// and every repeat would be told "unknown".
-func (cct *claimsCtl) clearLate(chg claim.Change, now clock.Milli) {
+// releaseLate releases a claim that reached the log after its attempt was abandoned. Otherwise
+// an attempt that never runs would hold the key, and every repeat would be answered unknown.
+func (cct *claimsCtl) releaseLate(chg claim.Change, now clock.Milli) {
 	if _, ok := cct.abandoned[chg.Attempt]; !ok || chg.State.Phase() != claim.Held || chg.State.Attempt() != chg.Attempt {
 		return
 	}
@@ -109,23 +109,23 @@
 func (cct *claimsCtl) step(now clock.Milli) {
 	cct.ctl.set.Meter.SetGauge(meter.GaugeKeys, float64(cct.ldg.Len()))
 	for key := range cct.waiting {
-		cct.judgeAll(key, now)
+		cct.advanceAll(key, now)
 	}
 	for attempt, at := range cct.abandoned {
-		if now-at > lateClaim {
+		if now-at > lateClaimWindow {
 			delete(cct.abandoned, attempt)
 		}
 	}
 }
 
-func (cct *claimsCtl) judgeAll(key string, now clock.Milli) {
-	var still []*asking
-	for _, akg := range cct.waiting[key] {
-		if !akg.done {
-			cct.judge(akg, now)
+func (cct *claimsCtl) advanceAll(key string, now clock.Milli) {
+	var still []*pendingClaim
+	for _, pcl := range cct.waiting[key] {
+		if !pcl.done {
+			cct.advance(pcl, now)
 		}
-		if !akg.done {
-			still = append(still, akg)
+		if !pcl.done {
+			still = append(still, pcl)
 		}
 	}
 	if len(still) == 0 {
@@ -135,89 +135,90 @@
 	cct.waiting[key] = still
 }
 
-// judge moves one waiting request on by what the ledger says now.
-func (cct *claimsCtl) judge(akg *asking, now clock.Milli) {
-	st := cct.find(akg.ask.Key, akg.ask.Boot)
-	ask := claim.Query{
-		Attempt: akg.ask.Attempt, Digest: akg.ask.Digest, Expires: akg.ask.Expires,
+// advance takes a waiting request as far as the state of its key allows.
+func (cct *claimsCtl) advance(pcl *pendingClaim, now clock.Milli) {
+	st := cct.find(pcl.req.Key, pcl.req.Boot)
+	qry := claim.Query{
+		Attempt: pcl.req.Attempt, Digest: pcl.req.Digest, Expires: pcl.req.Expires,
 		HolderLive: cct.isLive(st.Holder(), now),
 	}
-	move, res := claim.Judge(st, ask, now)
+	move, res := claim.Judge(st, qry, now)
 	switch move {
 	case claim.Append:
-		cct.append(akg, now)
+		cct.append(pcl, now)
 	case claim.Wait:
-		// The holder's settlement or release will be read from the log.
+		// The log will deliver the holder's settlement or release.
 	case claim.Answer:
-		cct.answer(akg, st, res)
+		cct.answer(pcl, st, res)
 	default:
-		// A key in the ledger was looked up; an expired one says so itself.
-		cct.finish(akg, Claimed{Move: move, Result: res, Looked: true})
+		// Run or Refuse. Either the ledger knows the key, or it has expired, and then the
+		// result is unknown already.
+		cct.finish(pcl, ClaimResult{Move: move, Result: res, LookedUp: true})
 	}
 }
 
-// isLive tells whether a holder may still settle its key. An instance that has
-// just started has not met the others yet and takes nobody for gone.
+// isLive reports whether a holder may still settle its key. Within discoveryGrace of its own
+// start this instance has not discovered all members and assumes every holder to be live.
 func (cct *claimsCtl) isLive(who ident.Incarnation, now clock.Milli) bool {
-	return cct.ctl.members.list.IsLive(who) || now-cct.ctl.startedAt < meetFor
+	return cct.ctl.members.list.IsLive(who) || now-cct.ctl.startedAt < discoveryGrace
 }
 
-func (cct *claimsCtl) finish(akg *asking, cld Claimed) {
-	akg.end()
-	akg.reply <- cld
+func (cct *claimsCtl) finish(pcl *pendingClaim, crs ClaimResult) {
+	pcl.markDone()
+	pcl.reply <- crs
 }
 
-func (cct *claimsCtl) append(akg *asking, now clock.Milli) {
-	if akg.appended {
+func (cct *claimsCtl) append(pcl *pendingClaim, now clock.Milli) {
+	if pcl.appended {
 		return
 	}
-	if akg.ask.Boot != "" {
-		cct.holdTicket(akg, now)
+	if pcl.req.Boot != "" {
+		cct.claimTicket(pcl, now)
 		return
 	}
-	if !cct.ldg.IsComplete(now) || now-cct.logAsOf > logSilence {
-		cct.finish(akg, Claimed{Move: claim.Refuse, Result: outcm.Refuse(outcm.LogUnavailable, outageRetry, "the log can't be read, so nobody knows whether the key ran")})
+	if !cct.ldg.IsComplete(now) || now-cct.logAsOf > maxLogAge {
+		cct.finish(pcl, ClaimResult{Move: claim.Refuse, Result: outcm.Refuse(outcm.LogUnavailable, outageRetryAfter, "the claims log can't be read, so it is not known whether the key has run")})
 		return
 	}
-	akg.appended = true
-	ent := cct.entry(akg.ask)
-	apg := feed.Record{Body: ent.Encode(), Expires: min(akg.ask.Expires, now+clock.Minute), Cancelled: akg.over.Load}
-	if !cct.app.Add(apg) {
-		cct.finish(akg, Claimed{Move: claim.Refuse, Result: outcm.Refuse(outcm.QueueFull, outageRetry, "too many records wait for the log")})
+	pcl.appended = true
+	ent := cct.entry(pcl.req)
+	rec := feed.Record{Body: ent.Encode(), Expires: min(pcl.req.Expires, now+clock.Minute), Cancelled: pcl.cancelled.Load}
+	if !cct.app.Add(rec) {
+		cct.finish(pcl, ClaimResult{Move: claim.Refuse, Result: outcm.Refuse(outcm.QueueFull, outageRetryAfter, "the queue of records for the claims log is full")})
 	}
 }
 
-func (cct *claimsCtl) entry(ask ClaimAsk) claim.Entry {
+func (cct *claimsCtl) entry(req ClaimRequest) claim.Entry {
 	return claim.Entry{
-		Kind: claim.KindClaim, Key: ask.Key, Attempt: ask.Attempt,
-		Holder: cct.ctl.set.Self, Digest: ask.Digest, Expires: ask.Expires,
+		Kind: claim.KindClaim, Key: req.Key, Attempt: req.Attempt,
+		Holder: cct.ctl.set.Self, Digest: req.Digest, Expires: req.Expires,
 	}
 }
 
-// isOurs tells whether a ticket is bound to this incarnation.
+// isOurs reports whether a ticket was issued by this incarnation.
 func (cct *claimsCtl) isOurs(boot string) bool { return boot != "" && boot == cct.ctl.set.Self.Boot() }
 
-// find gives a key's state: of our own tickets the desk knows it, of all others
-// the ledger.
+// find returns the state of a key: for tickets of this incarnation from the ticket table, for
+// all other keys from the ledger.
 func (cct *claimsCtl) find(key, boot string) claim.State {
 	if cct.isOurs(boot) {
-		return cct.desk.Find(key)
+		return cct.tickets.Find(key)
 	}
 	return cct.ldg.Find(key)
 }
 
-// holdTicket gives a free ticket to the attempt if it is one of ours. A ticket
-// of another incarnation is never run here: whether it ran there is not known.
-func (cct *claimsCtl) holdTicket(akg *asking, now clock.Milli) {
+// claimTicket claims a free ticket for the attempt if this incarnation issued it. A ticket of
+// another incarnation is never run here, because it is not known whether it ran there.
+func (cct *claimsCtl) claimTicket(pcl *pendingClaim, now clock.Milli) {
 	switch {
-	case !cct.isOurs(akg.ask.Boot) && cct.bootIsLive(akg.ask.Boot):
-		cct.finish(akg, Claimed{Move: claim.Refuse, Result: outcm.New(outcm.Unknown, outcm.TicketElsewhere, "the ticket belongs to another instance, ask there")})
-	case !cct.isOurs(akg.ask.Boot):
-		cct.finish(akg, Claimed{Move: claim.Refuse, Result: outcm.New(outcm.Unknown, outcm.KeyHolderGone, "the instance that the ticket belongs to is gone; it will not be run")})
-	case !cct.desk.Hold(cct.entry(akg.ask), now):
-		cct.finish(akg, Claimed{Move: claim.Refuse, Result: outcm.Refuse(outcm.QueueFull, outageRetry, "too many tickets are remembered")})
+	case !cct.isOurs(pcl.req.Boot) && cct.bootIsLive(pcl.req.Boot):
+		cct.finish(pcl, ClaimResult{Move: claim.Refuse, Result: outcm.New(outcm.Unknown, outcm.TicketElsewhere, "the ticket was issued by another live instance; send the request there")})
+	case !cct.isOurs(pcl.req.Boot):
+		cct.finish(pcl, ClaimResult{Move: claim.Refuse, Result: outcm.New(outcm.Unknown, outcm.KeyHolderGone, "the instance that issued the ticket is no longer live; the request will not be run")})
+	case !cct.tickets.Hold(cct.entry(pcl.req), now):
+		cct.finish(pcl, ClaimResult{Move: claim.Refuse, Result: outcm.Refuse(outcm.QueueFull, outageRetryAfter, "the table of tickets is full")})
 	default:
-		cct.finish(akg, Claimed{Move: claim.Run, Looked: true})
+		cct.finish(pcl, ClaimResult{Move: claim.Run, LookedUp: true})
 	}
 }
 
@@ -230,103 +231,101 @@
 	return false
 }
 
-func (akg *asking) end() {
-	akg.done = true
-	akg.over.Store(true)
+func (pcl *pendingClaim) markDone() {
+	pcl.done = true
+	pcl.cancelled.Store(true)
 }
 
-func (cct *claimsCtl) answer(akg *asking, st claim.State, res outcm.Result) {
+func (cct *claimsCtl) answer(pcl *pendingClaim, st claim.State, res outcm.Result) {
 	text, inLog := st.Answer()
 	if inLog {
-		cct.finish(akg, Claimed{Move: claim.Answer, Result: res, Answer: text, Looked: true})
+		cct.finish(pcl, ClaimResult{Move: claim.Answer, Result: res, Answer: text, LookedUp: true})
 		return
 	}
 	if own, ok := cct.answers[st.Attempt()]; ok {
-		cct.finish(akg, Claimed{Move: claim.Answer, Result: res, Answer: own, Looked: true})
+		cct.finish(pcl, ClaimResult{Move: claim.Answer, Result: res, Answer: own, LookedUp: true})
 		return
 	}
-	akg.end()
+	pcl.markDone()
 	holder := st.Holder()
-	cct.ctl.loop.Go(func(ctx context.Context) { akg.reply <- cct.fetch(ctx, holder.Addr(), st.Attempt(), res) })
+	cct.ctl.loop.Go(func(ctx context.Context) { pcl.reply <- cct.fetchAnswer(ctx, holder.Addr(), st.Attempt(), res) })
 }
 
-// fetch asks the holder for an answer that was too large for the log.
-func (cct *claimsCtl) fetch(ctx context.Context, addr, attempt string, res outcm.Result) Claimed {
-	lost := outcm.New(outcm.Unknown, outcm.AnswerLost, "the request ran once and ended as "+res.Outcome().String()+"; its answer is gone")
+// fetchAnswer requests from the holder an answer that was too large for the log.
+func (cct *claimsCtl) fetchAnswer(ctx context.Context, addr, attempt string, res outcm.Result) ClaimResult {
+	lost := outcm.New(outcm.Unknown, outcm.AnswerLost, "the request ran once and ended as "+res.Outcome().String()+"; its answer was lost")
 	if cct.ctl.set.Link == nil {
-		return Claimed{Move: claim.Answer, Result: lost, Looked: true}
+		return ClaimResult{Move: claim.Answer, Result: lost, LookedUp: true}
 	}
-	ctx, cancel := context.WithTimeout(ctx, stateWait)
+	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	ans, err := cct.ctl.set.Link.Call(ctx, addr, peer.Message{Kind: peer.GetAnswer, From: cct.ctl.set.Self, Body: []byte(attempt)})
 	if err != nil || ans.Kind != peer.OK {
-		return Claimed{Move: claim.Answer, Result: lost, Looked: true}
+		return ClaimResult{Move: claim.Answer, Result: lost, LookedUp: true}
 	}
-	return Claimed{Move: claim.Answer, Result: res, Answer: string(ans.Body), Looked: true}
+	return ClaimResult{Move: claim.Answer, Result: res, Answer: string(ans.Body), LookedUp: true}
 }
 
-// release appends the word that nothing with an effect was or will be
-// dispatched.
+// release appends a record that states that no stage with an effect was or will be dispatched.
 func (cct *claimsCtl) release(key, attempt string, now clock.Milli) {
 	ent := claim.Entry{Kind: claim.KindRelease, Key: key, Attempt: attempt}
-	cct.app.Add(feed.Record{Body: ent.Encode(), Expires: now + settleLife})
+	cct.app.Add(feed.Record{Body: ent.Encode(), Expires: now + settleTimeout})
 }
 
-// giveUp is called when a request's time ran out before its claim was read
-// back. From here on the attempt never runs.
-func (cct *claimsCtl) giveUp(akg *asking, now clock.Milli) {
-	if akg.done {
+// abandon is called when the time of a request runs out before its claim is read back. The
+// attempt never runs afterwards.
+func (cct *claimsCtl) abandon(pcl *pendingClaim, now clock.Milli) {
+	if pcl.done {
 		return
 	}
-	akg.end()
-	cct.ctl.set.Log.Info().Str("attempt", akg.ask.Attempt).Int64("waited_ms", int64(now-akg.since)).
-		Bool("appended", akg.appended).Int64("log_age_ms", int64(now-cct.logAsOf)).Msg("claim given up")
-	cct.judgeAll(akg.ask.Key, now)
-	if !akg.appended {
+	pcl.markDone()
+	cct.ctl.set.Log.Info().Str("attempt", pcl.req.Attempt).Int64("waited_ms", int64(now-pcl.requestedAt)).
+		Bool("appended", pcl.appended).Int64("log_age_ms", int64(now-cct.logAsOf)).Msg("claim abandoned")
+	cct.advanceAll(pcl.req.Key, now)
+	if !pcl.appended {
 		return
 	}
-	cct.abandoned[akg.ask.Attempt] = now
-	if st := cct.ldg.Find(akg.ask.Key); st.Phase() == claim.Held && st.Attempt() == akg.ask.Attempt {
-		cct.release(akg.ask.Key, akg.ask.Attempt, now)
+	cct.abandoned[pcl.req.Attempt] = now
+	if st := cct.ldg.Find(pcl.req.Key); st.Phase() == claim.Held && st.Attempt() == pcl.req.Attempt {
+		cct.release(pcl.req.Key, pcl.req.Attempt, now)
 	}
 }
 
-// IsFree tells whether this instance knows of no attempt that holds or settled
-// a key.
-func (ctl *Control) IsFree(ctx context.Context, ask ClaimAsk) bool {
-	free, _ := loop.Get(ctx, ctl.loop, func(clock.Milli) bool { return ctl.claims.find(ask.Key, ask.Boot).Phase() == claim.Free })
+// IsFree reports whether this instance knows of no attempt that holds or settled the key.
+func (ctl *Control) IsFree(ctx context.Context, req ClaimRequest) bool {
+	free, _ := loop.Get(ctx, ctl.loop, func(clock.Milli) bool { return ctl.claims.find(req.Key, req.Boot).Phase() == claim.Free })
 	return free
 }
 
-// Claim asks to run a request under a key and waits for the log's word, at most
-// until the context ends.
-func (ctl *Control) Claim(ctx context.Context, ask ClaimAsk) Claimed {
-	akg := &asking{ask: ask, since: ctl.set.Clock.Now(), reply: make(chan Claimed, 1)}
-	refused := Claimed{Move: claim.Refuse, Result: outcm.Refuse(outcm.LogUnavailable, outageRetry, "the log did not confirm the claim in time")}
+// Claim claims a key for an attempt and waits until the log confirms or refuses the claim, at
+// most until the context ends.
+func (ctl *Control) Claim(ctx context.Context, req ClaimRequest) ClaimResult {
+	pcl := &pendingClaim{req: req, requestedAt: ctl.set.Clock.Now(), reply: make(chan ClaimResult, 1)}
+	refused := ClaimResult{Move: claim.Refuse, Result: outcm.Refuse(outcm.LogUnavailable, outageRetryAfter, "the log did not confirm the claim in time")}
 	entered := ctl.Do(ctx, func(now clock.Milli) {
-		ctl.claims.waiting[ask.Key] = append(ctl.claims.waiting[ask.Key], akg)
-		ctl.claims.judgeAll(ask.Key, now)
+		ctl.claims.waiting[req.Key] = append(ctl.claims.waiting[req.Key], pcl)
+		ctl.claims.advanceAll(req.Key, now)
 	})
 	if entered {
 		select {
-		case cld := <-akg.reply:
-			return cld
+		case crs := <-pcl.reply:
+			return crs
 		case <-ctx.Done():
 		}
 	}
-	// The event may still be on its way to the control thread; giving up is
-	// one too and comes after it, so that the attempt ends either way.
-	var won *Claimed
+	// The event above may still be queued at the control loop. The abandonment is an event too
+	// and runs after it, so that the attempt ends in either case.
+	var won *ClaimResult
 	if !ctl.Do(ctl.loop.Context(), func(now clock.Milli) {
-		if akg.done {
+		if pcl.done {
 			select {
-			case cld := <-akg.reply:
-				won = &cld
+			case crs := <-pcl.reply:
+				won = &crs
 			default:
 			}
 			return
 		}
-		ctl.claims.giveUp(akg, now)
+		ctl.claims.abandon(pcl, now)
 	}) {
 		return refused
 	}
@@ -334,56 +333,56 @@
 		return *won
 	}
 	if ctx.Err() == context.Canceled {
-		refused.Result = outcm.New(outcm.NotRun, outcm.CallerGone, "the caller went away")
+		refused.Result = outcm.New(outcm.NotRun, outcm.CallerGone, "the caller disconnected")
 	}
 	return refused
 }
 
-// Release gives a key back whose request ran nothing with an effect.
-func (ctl *Control) Release(ask ClaimAsk) {
+// Release frees the key of a request that ran nothing with an effect.
+func (ctl *Control) Release(req ClaimRequest) {
 	ctl.Do(ctl.loop.Context(), func(now clock.Milli) {
-		if ctl.claims.isOurs(ask.Boot) {
-			ctl.claims.desk.Release(ask.Key, ask.Attempt)
-			ctl.claims.judgeAll(ask.Key, now)
+		if ctl.claims.isOurs(req.Boot) {
+			ctl.claims.tickets.Release(req.Key, req.Attempt)
+			ctl.claims.advanceAll(req.Key, now)
 			return
 		}
-		ctl.claims.release(ask.Key, ask.Attempt, now)
+		ctl.claims.release(req.Key, req.Attempt, now)
 	})
 }
 
-// Settle records what became of a request with a key. The caller is answered
-// without waiting for it: until it is in the log a repeat elsewhere waits, and
-// if this instance dies first the repeat is told "unknown".
-func (ctl *Control) Settle(ask ClaimAsk, res outcm.Result, answer string) {
-	ctl.Do(ctl.loop.Context(), func(now clock.Milli) { ctl.claims.settle(ask, res, answer, now) })
+// Settle records the outcome of a request with a key. The caller is answered without waiting
+// for the record: until it is in the log, a repeat at another instance waits, and if this
+// instance crashes first, the repeat is answered unknown.
+func (ctl *Control) Settle(req ClaimRequest, res outcm.Result, answer string) {
+	ctl.Do(ctl.loop.Context(), func(now clock.Milli) { ctl.claims.settle(req, res, answer, now) })
 }
 
-func (cct *claimsCtl) settle(ask ClaimAsk, res outcm.Result, answer string, now clock.Milli) {
+func (cct *claimsCtl) settle(req ClaimRequest, res outcm.Result, answer string, now clock.Milli) {
 	ent := claim.Entry{
-		Kind: claim.KindSettle, Key: ask.Key, Attempt: ask.Attempt,
+		Kind: claim.KindSettle, Key: req.Key, Attempt: req.Attempt,
 		Outcome: res.Outcome().String(), Reason: res.Reason().String(),
 	}
 	if len(answer) <= claim.MaxAnswer {
 		ent.Answer = answer
 	} else {
 		ent.Large = true
-		cct.keep(ask.Attempt, answer)
+		cct.storeAnswer(req.Attempt, answer)
 	}
-	if cct.isOurs(ask.Boot) {
-		// The claim goes into the log with its settlement, once the log is
-		// back, so that others can answer for the ticket when we are gone.
-		cct.desk.Settle(ent)
-		cct.app.Add(feed.Record{Body: cct.entry(ask).Encode(), Expires: now + settleLife})
-		defer cct.judgeAll(ask.Key, now)
+	if cct.isOurs(req.Boot) {
+		// The claim is appended together with the settlement once the log is available again,
+		// so that other instances can answer for the ticket after this one stops.
+		cct.tickets.Settle(ent)
+		cct.app.Add(feed.Record{Body: cct.entry(req).Encode(), Expires: now + settleTimeout})
+		defer cct.advanceAll(req.Key, now)
 	}
-	cct.app.Add(feed.Record{Body: ent.Encode(), Expires: now + settleLife})
+	cct.app.Add(feed.Record{Body: ent.Encode(), Expires: now + settleTimeout})
 }
 
-func (cct *claimsCtl) keep(attempt, answer string) {
+func (cct *claimsCtl) storeAnswer(attempt, answer string) {
 	cct.answers[attempt] = answer
-	cct.order = append(cct.order, attempt)
-	if len(cct.order) > maxAnswers {
-		delete(cct.answers, cct.order[0])
-		cct.order = cct.order[1:]
+	cct.answerOrder = append(cct.answerOrder, attempt)
+	if len(cct.answerOrder) > maxLargeAnswers {
+		delete(cct.answers, cct.answerOrder[0])
+		cct.answerOrder = cct.answerOrder[1:]
 	}
 }
--- a/internal/contr/control.go
+++ b/internal/contr/control.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	// tickEvery is the time between two steps of the controllers.
-	tickEvery = 50 * time.Millisecond
+	// tickInterval is the interval between two steps of the controllers.
+	tickInterval = 50 * time.Millisecond
 )
 
-// Setup is what a control thread is made of.
+// Setup configures a control loop.
 type Setup struct {
 	Self         ident.Incarnation
 	Zone         string
@@ -37,7 +37,7 @@
 	Runner       *stage.Runner
 	Meter        *meter.Meter
 	Log          zerolog.Logger
-	// Link is nil for an instance that stands alone.
+	// Link is nil for a standalone instance.
 	Link *peer.Link
 }
 
@@ -47,7 +47,7 @@
 	loop *loop.Loop
 	view atomic.Pointer[View]
 	load atomic.Int64
-	// demands is what the other instances see of each workspace.
+	// demands has the demand of each workspace at each other instance.
 	demands atomic.Pointer[map[ident.Incarnation]map[string]float64]
 
 	members membersCtl
@@ -56,79 +56,78 @@
 	claims  claimsCtl
 	leases  leasesCtl
 	leaving bool
-	// startedAt is the instant of the control thread's start.
+	// startedAt is the instant at which the control loop was created.
 	startedAt clock.Milli
 	stopping  atomic.Bool
 }
 
-// View is what traffic sees of the control state. It is never changed.
+// View is an immutable snapshot of the control state, read by the request path.
 type View struct {
 	docs    map[string]oplog.DocVersion
 	members []member.Member
 	applied int64
 	ready   bool
 	why     string
-	// until is the instant up to which the view may be gone by.
+	// until is the last instant at which the view may be used.
 	until clock.Milli
 }
 
-// Doc gives a service's document in force.
+// Doc returns the document of a service that is in force.
 func (vw *View) Doc(service string) (oplog.DocVersion, bool) {
-	hld, ok := vw.docs[service]
-	return hld, ok
+	dvr, ok := vw.docs[service]
+	return dvr, ok
 }
 
-// Docs gives all documents in force.
+// Docs returns all documents in force.
 func (vw *View) Docs() map[string]oplog.DocVersion { return vw.docs }
 
-// Members gives the instances that are not dead.
+// Members returns the instances that are not declared dead.
 func (vw *View) Members() []member.Member { return vw.members }
 
-// Applied gives the offset that the documents are of.
+// Applied returns the log offset up to which documents are applied.
 func (vw *View) Applied() int64 { return vw.applied }
 
-// Ready tells whether new work may be taken at the instant now, and why not.
+// Ready reports whether new work may be admitted at the instant now, and the reason if not.
 //
-// The view carries the end of its own time. A process that was frozen wakes
-// with its old view, and requests that waited in its sockets are read before
-// the control thread has looked at the clock; going by a flag alone, it would
-// answer them by documents that were replaced while it slept.
+// The view carries its own expiry. A process that was frozen resumes with its old view and
+// reads the requests that wait in its sockets before the control loop has looked at the clock.
+// With only a flag, it would serve them with documents that were replaced in the meantime.
 func (vw *View) Ready(now clock.Milli) (ready bool, why string) {
 	if vw.ready && now > vw.until {
-		return false, "the view has run out"
+		return false, "the view of the control state has expired"
 	}
 	return vw.ready, vw.why
 }
 
-// New returns a control thread that has not started.
+// New returns a control loop that is not running.
 func New(set Setup) *Control {
 	ctl := &Control{set: set, loop: loop.New(set.Clock, func() { set.Meter.CountEvent(meter.EventDropped) })}
 	now := set.Clock.Now()
 	ctl.startedAt = now
 	ctl.members.open(ctl, now)
 	ctl.docs = docsCtl{ctl: ctl}
-	ctl.endpts = endptsCtl{ctl: ctl, left: map[string]clock.Milli{}}
-	ctl.claims = claimsCtl{ctl: ctl, waiting: map[string][]*asking{}, abandoned: map[string]clock.Milli{}, answers: map[string]string{}}
+	ctl.endpts = endptsCtl{ctl: ctl, leaving: map[string]clock.Milli{}}
+	ctl.claims = claimsCtl{ctl: ctl, waiting: map[string][]*pendingClaim{}, abandoned: map[string]clock.Milli{}, answers: map[string]string{}}
 	ctl.leases = leasesCtl{ctl: ctl}
 	ctl.view.Store(&View{why: "starting"})
 	return ctl
 }
 
-// SetLink gives the link to the other instances; before Run only.
+// SetLink sets the link to the other instances. It must be called before Run.
 func (ctl *Control) SetLink(lnk *peer.Link) { ctl.set.Link, ctl.members.group.Link = lnk, lnk }
 
-// View gives the present view.
+// View returns the current view.
 func (ctl *Control) View() *View { return ctl.view.Load() }
 
-// Self gives the instance's identity.
+// Self returns the identity of the instance.
 func (ctl *Control) Self() ident.Incarnation { return ctl.set.Self }
 
-// SetLoad notes how many requests are under way, for the other instances.
+// SetLoad sets the number of requests in flight that is reported to the other instances.
 func (ctl *Control) SetLoad(n int64) { ctl.load.Store(n) }
 
 // Run owns the state until the context ends, then waits for its workers.
 func (ctl *Control) Run(ctx context.Context) {
-	ctl.loop.Run(ctx, tickEvery, func() {
+	ctl.loop.Run(ctx, tickInterval, func() {
 		ctl.claims.app = ctl.appender(platf.StreamClaims)
 		ctl.docs.app = ctl.appender(platf.StreamDocs)
 		ctl.leases.app = ctl.appender(platf.StreamLeases)
@@ -136,22 +135,22 @@
 		ctl.loop.Go(ctl.claims.tail)
 		ctl.loop.Go(ctl.leases.tail)
 		ctl.loop.Go(ctl.endpts.watchList)
-		ctl.loop.Go(ctl.endpts.askLoads)
+		ctl.loop.Go(ctl.endpts.pollLoads)
 	}, ctl.step, ctl.publish)
 }
 
-// feed gives what reading and appending need.
-func (ctl *Control) feed() feed.Setup {
+// feedSetup returns the configuration for reading from and appending to the log.
+func (ctl *Control) feedSetup() feed.Setup {
 	return feed.Setup{Clock: ctl.set.Clock, Platform: ctl.set.Platform, Meter: ctl.set.Meter, Log: ctl.set.Log}
 }
 
 func (ctl *Control) appender(stream string) *feed.Appender {
-	app := feed.NewAppender(ctl.feed(), stream)
+	app := feed.NewAppender(ctl.feedSetup(), stream)
 	ctl.loop.Go(app.Run)
 	return app
 }
 
-// step lets each controller act, in the fixed order.
+// step runs one step of each controller, in a fixed order.
 func (ctl *Control) step(now clock.Milli) {
 	ctl.members.step(now)
 	ctl.docs.step(now)
@@ -161,19 +160,19 @@
 	ctl.set.Meter.SetGauge(meter.GaugeEventQueue, float64(ctl.loop.QueueLen()))
 }
 
-// Do runs an event on the control thread and waits for it. It gives false if the
-// context ended first; the event may then run later or never.
+// Do runs an event on the control loop and waits for it. It returns false if the context ended
+// first; the event may then run later or never.
 func (ctl *Control) Do(ctx context.Context, event func(now clock.Milli)) bool {
 	return ctl.loop.Do(ctx, event)
 }
 
-// Left is told by traffic that an endpoint said it is leaving.
+// Left is called by the request path when an endpoint reports that it is leaving.
 func (ctl *Control) Left(pool, id string) {
-	ctl.loop.Offer(func(now clock.Milli) { ctl.endpts.heardLeaving(pool+"/"+id, now) })
+	ctl.loop.Offer(func(now clock.Milli) { ctl.endpts.noteLeaving(pool+"/"+id, now) })
 }
 
-// Leave starts a planned stop: the instance tells the others that it is leaving
-// and is no longer named to callers. It goes on serving.
+// Leave starts a planned shutdown: the instance announces to the others that it is leaving and
+// is no longer offered to callers. It continues to serve requests.
 func (ctl *Control) Leave(ctx context.Context) {
 	ctl.Do(ctx, func(now clock.Milli) {
 		ctl.leaving = true
@@ -184,27 +183,27 @@
 // Refuse makes the instance refuse new work from now on.
 func (ctl *Control) Refuse() { ctl.stopping.Store(true) }
 
-// Stopping tells whether new work is refused because of a planned stop.
+// Stopping reports whether new work is refused because of a planned shutdown.
 func (ctl *Control) Stopping() bool { return ctl.stopping.Load() }
 
-// Alive tells whether the control thread takes events.
+// Alive reports whether the control loop processes events.
 func (ctl *Control) Alive(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	return ctl.Do(ctx, func(clock.Milli) {})
 }
 
-// Flush waits until what was to be appended is in the log, or the context ends.
+// Flush waits until all pending records are appended to the log, or the context ends.
 func (ctl *Control) Flush(ctx context.Context) {
 	for !ctl.claims.app.Empty() || !ctl.docs.app.Empty() {
-		if !feed.Sleep(ctx, tickEvery) {
+		if !feed.Sleep(ctx, tickInterval) {
 			return
 		}
 	}
 }
 
-// publish makes a new view. Its maps and lists are shared with the old one
-// unless they changed.
+// publish publishes a new view. Its maps and lists are shared with the previous view unless
+// they changed.
 func (ctl *Control) publish(now clock.Milli) {
 	until, why := ctl.docs.freshUntil(now)
 	ready := why == ""
--- a/internal/contr/docs.go
+++ b/internal/contr/docs.go
@@ -18,50 +18,49 @@
 )
 
 const (
-	// snapshotShare of the log's retention is the age at which documents are
-	// appended again; the instances take turns a rankStep apart.
-	snapshotShare = 4
-	rankStep      = 5 * clock.Second
-	// statePeers is how many peers are asked for their state at a time.
-	statePeers   = 3
-	stateWait    = 2 * time.Second
-	stateRepeat  = 500 * clock.Milli(1)
-	snapshotLife = clock.Minute
-	// resetAfter is how long a reader that wants a state waits for an answer,
-	// and wantLife how long its records are tried to be appended.
-	resetAfter = 10 * clock.Second
-	wantLife   = 3 * clock.Second
-	// readGap is the longest time between two reads of the log's end that
-	// counts as without a gap.
-	readGap = 3 * clock.Second
+	// A document is appended again when its age reaches LogRetention divided by
+	// snapshotFraction. Instances of successive ranks wait rankStep longer each.
+	snapshotFraction = 4
+	rankStep         = 5 * clock.Second
+	// statePeers is the number of peers asked for their state in one round.
+	statePeers      = 3
+	stateTimeout    = 2 * time.Second
+	stateInterval   = 500 * clock.Milli(1)
+	snapshotTimeout = clock.Minute
+	// resetDelay is how long an instance without state waits for an answer to its state
+	// request. stateRequestTimeout bounds the attempts to append such a request.
+	resetDelay          = 10 * clock.Second
+	stateRequestTimeout = 3 * clock.Second
+	// maxReadGap is the longest interval between two reads of the log's end that count as
+	// uninterrupted.
+	maxReadGap = 3 * clock.Second
 )
 
-// docsCtl keeps the service documents.
+// docsCtl tracks the service documents.
 type docsCtl struct {
 	ctl     *Control
 	reg     oplog.Registry
 	app     *feed.Appender
 	changed bool
-	// logAsOf is the last instant at which the log's end was known to be
-	// applied, zero if never; known tells that the state is that of some offset
-	// which was current once.
-	logAsOf  clock.Milli
-	known    bool
-	asking   bool
-	askedAt  clock.Milli
-	snapshot clock.Milli
-	// stuckAsOf is the last instant at which the log's end was read without a
-	// state, and stuckSince the one since which it was read without a gap.
-	stuckAsOf  clock.Milli
-	stuckSince clock.Milli
-	// askedLog is when the log was last asked for a state, answered when we last
-	// answered another's wish for one.
-	askedLog clock.Milli
-	answered clock.Milli
+	// logAsOf is the last instant at which the log was known to be applied to its end, zero if
+	// never. known is set if the state is that of an offset which was current at some time.
+	logAsOf        clock.Milli
+	known          bool
+	fetching       bool
+	fetchStartedAt clock.Milli
+	nextSnapshot   clock.Milli
+	// statelessAsOf is the last instant at which the log was read to its end without finding a
+	// state, statelessSince the start of the uninterrupted period of such reads.
+	statelessAsOf  clock.Milli
+	statelessSince clock.Milli
+	// requestedAt is when this instance last requested a state through the log, nextAnswer the
+	// instant from which it may answer another state request.
+	requestedAt clock.Milli
+	nextAnswer  clock.Milli
 }
 
 func (dct *docsCtl) tail(ctx context.Context) {
-	feed.Tail(ctx, dct.ctl.feed(), feed.Consumer{
+	feed.Tail(ctx, dct.ctl.feedSetup(), feed.Consumer{
 		Do:     dct.ctl.Do,
 		Stream: platf.StreamDocs,
 		Next:   dct.reg.Next,
@@ -71,13 +70,13 @@
 			dct.changed = dct.changed || dct.reg.Applied() != before
 			for _, dec := range decided {
 				dct.ctl.set.Log.Info().Str("service", dec.Service()).Int64("offset", dec.Offset()).
-					Str("verdict", dec.Verdict().String()).Msg("document offered")
+					Str("verdict", dec.Verdict().String()).Msg("document offer decided")
 			}
 		},
 		Restart: dct.reg.Restart,
 		CaughtUp: func(asOf clock.Milli) {
 			if !dct.reg.Ready() {
-				dct.endRead(asOf)
+				dct.noteStatelessRead(asOf)
 				return
 			}
 			dct.known = true
@@ -86,73 +85,73 @@
 	})
 }
 
-// endRead notes that the log's end was read without a state.
-func (dct *docsCtl) endRead(asOf clock.Milli) {
-	if asOf-dct.stuckAsOf > readGap {
-		dct.stuckSince = asOf
+// noteStatelessRead records that the log was read to its end without finding a state.
+func (dct *docsCtl) noteStatelessRead(asOf clock.Milli) {
+	if asOf-dct.statelessAsOf > maxReadGap {
+		dct.statelessSince = asOf
 	}
-	dct.stuckAsOf = asOf
+	dct.statelessAsOf = asOf
 }
 
 func (dct *docsCtl) step(now clock.Milli) {
 	dct.ctl.set.Meter.SetGauge(meter.GaugeLogAge, float64(now-dct.logAsOf))
-	dct.askPeers(now)
+	dct.fetchFromPeers(now)
 	dct.takeSnapshot(now)
-	dct.wantState(now)
+	dct.requestState(now)
 }
 
-// wantState asks by the log for a state when its end was read without one, and
-// after a while says that there is none: everything was off for longer than the
-// log keeps records. Without that no instance would ever be ready again.
+// requestState requests a state through the log if the log was read to its end without finding
+// one. If no instance answers within resetDelay, it appends a reset: all instances were down
+// for longer than the retention of the log. Without the reset no instance would become ready
+// again.
 //
-// The time to wait counts only while the log can be read. Those who have a state
-// can't answer through an outage either, and after it a reset that was ready
-// would overtake their answers and drop documents that are in force.
-func (dct *docsCtl) wantState(now clock.Milli) {
-	unread := dct.stuckAsOf == 0 || now-dct.stuckAsOf > readGap
-	if dct.reg.Ready() || unread || now-max(dct.askedLog, dct.stuckSince) < resetAfter && dct.askedLog > 0 {
+// The delay counts only while the log is readable. Instances that have a state can't answer
+// during an outage either, and a reset right after the outage would precede their answers and
+// drop documents that are in force.
+func (dct *docsCtl) requestState(now clock.Milli) {
+	unreadable := dct.statelessAsOf == 0 || now-dct.statelessAsOf > maxReadGap
+	if dct.reg.Ready() || unreadable || now-max(dct.requestedAt, dct.statelessSince) < resetDelay && dct.requestedAt > 0 {
 		return
 	}
 	ent := oplog.Entry{Kind: oplog.KindStateRequest}
-	if asked := dct.reg.PendingStateRequest(); asked > 0 && dct.askedLog > 0 {
-		ent = oplog.Entry{Kind: oplog.KindReset, AsOf: asked}
-		dct.ctl.set.Log.Warn().Msg("nobody has the documents and the log has forgotten them; starting from nothing")
+	if offset := dct.reg.PendingStateRequest(); offset > 0 && dct.requestedAt > 0 {
+		ent = oplog.Entry{Kind: oplog.KindReset, AsOf: offset}
+		dct.ctl.set.Log.Warn().Msg("no instance has the documents and the log has trimmed them; resetting to an empty state")
 	}
-	dct.askedLog = now
-	dct.app.Add(feed.Record{Body: ent.Encode(), Expires: now + wantLife})
+	dct.requestedAt = now
+	dct.app.Add(feed.Record{Body: ent.Encode(), Expires: now + stateRequestTimeout})
 }
 
-// freshUntil gives the instant up to which the documents may be taken to be in
-// force, or why they may not: the log said so within the bound, or most of the
-// instances are in touch with one another and none has applied more than we
-// have.
+// freshUntil returns the instant up to which the documents may be assumed to be in force, or
+// the reason why they may not. They may if the log was known to be applied to its end within
+// the maximum log age, or if a majority of the instances are in contact and none of them has
+// applied more than this instance.
 //
-// Why most of them: while the log is out for all, no document is accepted and
-// those who vouch for each other go on. But an instance that is cut off from
-// the log together with a few others must not be vouched for by them, for the
-// rest may have accepted a newer document; a publisher counts on such a group
-// refusing after the bound. Two groups can't both be most.
+// A majority is required because a publisher relies on outdated instances refusing work after
+// the maximum log age. During a complete outage of the log no document is accepted, so that the
+// majority may continue. A minority that is partitioned from the log must not: the other
+// instances may have accepted a newer document. Two disjoint groups can't both be a majority.
 //
-// Both are looked at each time, and the later end counts. Were the others' word
-// looked at only once the log's has run out, a view would run out up to a tick
-// before the next one is made, and requests be refused in between.
+// Both conditions are evaluated each time and the later expiry counts. If the majority were
+// evaluated only after the log age had run out, a view could expire up to one tick before the
+// next one is published, and requests in between would be refused.
 func (dct *docsCtl) freshUntil(now clock.Milli) (until clock.Milli, why string) {
 	if !dct.known {
-		return 0, "no document state is known yet"
+		return 0, "no document state has been loaded yet"
 	}
-	until = max(dct.logAsOf, dct.vouchedSince(now)) + dct.ctl.set.Fresh
+	until = max(dct.logAsOf, dct.majoritySince(now)) + dct.ctl.set.Fresh
 	switch {
 	case now <= until:
 		return until, ""
 	case dct.isBehind():
 		return 0, "another instance has newer documents"
 	}
-	return 0, "neither the log nor most of the instances can be reached"
+	return 0, "neither the log nor a majority of the instances is reachable"
 }
 
-// vouchedSince gives the instant since which most of the instances have been in
-// touch, zero if they are not or if one of them has newer documents.
-func (dct *docsCtl) vouchedSince(now clock.Milli) clock.Milli {
+// majoritySince returns the instant since which a majority of the instances has been seen, zero
+// if there is no majority or if one of them has newer documents.
+func (dct *docsCtl) majoritySince(now clock.Milli) clock.Milli {
 	since, ok := dct.ctl.members.list.MajoritySeen(now)
 	if !ok || dct.isBehind() {
 		return 0
@@ -176,11 +175,11 @@
 	return best, found
 }
 
-// askPeers fetches the state of others while the log gives none: by an instance
-// that is new during an outage, or one that is behind.
-func (dct *docsCtl) askPeers(now clock.Milli) {
-	silent := now-dct.logAsOf > stateRepeat+clock.Second
-	if dct.ctl.set.Link == nil || dct.asking || !silent || now-dct.askedAt < stateRepeat {
+// fetchFromPeers fetches the state of other instances while the log is unavailable, if this
+// instance started during the outage or lags behind.
+func (dct *docsCtl) fetchFromPeers(now clock.Milli) {
+	stale := now-dct.logAsOf > stateInterval+clock.Second
+	if dct.ctl.set.Link == nil || dct.fetching || !stale || now-dct.fetchStartedAt < stateInterval {
 		return
 	}
 	ahead, ok := dct.mostApplied()
@@ -197,7 +196,7 @@
 	if len(addrs) == 0 {
 		addrs = dct.ctl.set.Peers[:min(len(dct.ctl.set.Peers), statePeers)]
 	}
-	dct.asking, dct.askedAt = true, now
+	dct.fetching, dct.fetchStartedAt = true, now
 	dct.ctl.loop.Go(func(ctx context.Context) { dct.fetch(ctx, addrs) })
 }
 
@@ -210,7 +209,7 @@
 		}
 	}
 	dct.ctl.Do(ctx, func(clock.Milli) {
-		dct.asking = false
+		dct.fetching = false
 		if !found {
 			return
 		}
@@ -223,7 +222,7 @@
 }
 
 func (dct *docsCtl) fetchFrom(ctx context.Context, addr string) (oplog.State, bool) {
-	ctx, cancel := context.WithTimeout(ctx, stateWait)
+	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	ans, err := dct.ctl.set.Link.Call(ctx, addr, peer.Message{Kind: peer.GetState, From: dct.ctl.set.Self})
 	var st oplog.State
@@ -233,10 +232,9 @@
 	return st, true
 }
 
-// stateFor answers a peer that asks for the state. A state that was never
-// known to be current is not handed on: two new instances would otherwise take
-// each other's emptiness for the truth.
-func (dct *docsCtl) stateFor() ([]byte, bool) {
+// encodeState returns the encoded state for a peer. A state that was never known to be current
+// is not returned: otherwise two new instances would accept each other's empty state.
+func (dct *docsCtl) encodeState() ([]byte, bool) {
 	st, ok := dct.reg.State()
 	if !ok || !dct.known {
 		return nil, false
@@ -245,50 +243,50 @@
 	return body, err == nil
 }
 
-// takeSnapshot appends documents again well before the log forgets them. The
-// instances take turns by rank, so that normally one does it; two doing it
-// write the same and do no harm.
+// takeSnapshot appends documents again well before the log trims their records. The instances
+// take turns by rank, so that normally only one does it. Two snapshots have the same content,
+// and the second has no effect.
 func (dct *docsCtl) takeSnapshot(now clock.Milli) {
 	if !dct.known || now-dct.logAsOf > clock.Second*2 {
 		return
 	}
-	if dct.reg.StateRequested() && now >= dct.answered {
-		dct.answered = now + wantLife
-		dct.appendAgain(now, now+1)
+	if dct.reg.StateRequested() && now >= dct.nextAnswer {
+		dct.nextAnswer = now + stateRequestTimeout
+		dct.reappend(now, now+1)
 		return
 	}
-	if now < dct.snapshot {
+	if now < dct.nextSnapshot {
 		return
 	}
 	rank := clock.Milli(dct.ctl.members.list.Rank())
-	age := dct.ctl.set.LogRetention / snapshotShare
-	if dct.appendAgain(now, now-age-rank*rankStep) > 0 {
-		dct.snapshot = now + snapshotLife
+	age := dct.ctl.set.LogRetention / snapshotFraction
+	if dct.reappend(now, now-age-rank*rankStep) > 0 {
+		dct.nextSnapshot = now + snapshotTimeout
 	}
 }
 
-// appendAgain appends the documents that were last appended before olderThan.
-func (dct *docsCtl) appendAgain(now, olderThan clock.Milli) int {
+// reappend appends the documents that were last appended before olderThan and returns the
+// number of records.
+func (dct *docsCtl) reappend(now, olderThan clock.Milli) int {
 	ents := dct.reg.Snapshot(olderThan)
 	for _, ent := range ents {
-		dct.app.Add(feed.Record{Body: ent.Encode(), Expires: now + snapshotLife})
+		dct.app.Add(feed.Record{Body: ent.Encode(), Expires: now + snapshotTimeout})
 	}
 	if len(ents) > 0 {
-		dct.ctl.set.Log.Info().Int("records", len(ents)).Msg("appended documents again")
+		dct.ctl.set.Log.Info().Int("records", len(ents)).Msg("document snapshot appended")
 	}
 	return len(ents)
 }
 
-// offer appends an offer and goes on until the deadline.
+// offer appends an offer and retries until the given instant.
 func (dct *docsCtl) offer(ent oplog.Entry, until clock.Milli) bool {
 	return dct.app.Add(feed.Record{Body: json.RawMessage(ent.Encode()), Expires: until})
 }
 
-// behind lists the instances that may still go by documents older than an
-// offset: live ones that have not reported it, and ones taken for dead which
-// may not have noticed yet. An instance without word of the log or of most
-// others refuses new work after the freshness bound, so that one not heard for
-// longer is out of force whatever it holds.
+// behind lists the instances that may still use documents older than an offset: live ones that
+// have not reported it, and ones declared dead that may not have noticed yet. An instance that
+// is in contact neither with the log nor with a majority refuses new work after the maximum log
+// age, so that one not seen for longer no longer uses any document.
 func (dct *docsCtl) behind(offset int64, now clock.Milli) []ident.Incarnation {
 	return dct.ctl.members.list.Lagging(offset, dct.ctl.set.Fresh+member.Period, now)
 }
--- a/internal/contr/endpts.go
+++ b/internal/contr/endpts.go
@@ -14,35 +14,35 @@
 )
 
 const (
-	listEvery = time.Second
-	listWait  = 2 * time.Second
-	loadEvery = time.Second
-	loadWait  = 500 * time.Millisecond
-	// leftFor is how long a leaving endpoint is passed on to others.
-	leftFor = 30 * clock.Second
-	// maxLeft bounds the names in one message.
-	maxLeft = 32
+	listInterval = time.Second
+	listTimeout  = 2 * time.Second
+	loadInterval = time.Second
+	loadTimeout  = 500 * time.Millisecond
+	// leavingTTL is how long a leaving endpoint is reported to other instances.
+	leavingTTL = 30 * clock.Second
+	// maxLeaving bounds the endpoint names in one message.
+	maxLeaving = 32
 )
 
-// endptsCtl keeps the pools' endpoints from the instance list. Each endpoint is
-// asked for its report by one instance of its data centre.
+// endptsCtl tracks the endpoints of the pools from the instance list. The report of each
+// endpoint is requested by one instance of its data centre.
 type endptsCtl struct {
-	ctl   *Control
-	list  []wire.Instance
-	left  map[string]clock.Milli
-	rates func() map[string]float64
+	ctl     *Control
+	list    []wire.Instance
+	leaving map[string]clock.Milli
+	rates   func() map[string]float64
 }
 
-// watchList reads the instance list and keeps our own line in it.
+// watchList reads the instance list periodically and renews the instance's own entry.
 func (ect *endptsCtl) watchList(ctx context.Context) {
-	tkr := time.NewTicker(listEvery)
+	tkr := time.NewTicker(listInterval)
 	defer tkr.Stop()
 	for {
-		ect.renew(ctx)
-		rctx, cancel := context.WithTimeout(ctx, listWait)
+		ect.renewEntry(ctx)
+		rctx, cancel := context.WithTimeout(ctx, listTimeout)
 		list, err := ect.ctl.set.Platform.List(rctx)
 		cancel()
-		if err == nil && !ect.ctl.Do(ctx, func(clock.Milli) { ect.take(list) }) {
+		if err == nil && !ect.ctl.Do(ctx, func(clock.Milli) { ect.applyList(list) }) {
 			return
 		}
 		select {
@@ -53,7 +53,7 @@
 	}
 }
 
-func (ect *endptsCtl) renew(ctx context.Context) {
+func (ect *endptsCtl) renewEntry(ctx context.Context) {
 	state := wire.StateLive
 	if !ect.ctl.Do(ctx, func(clock.Milli) {
 		if ect.ctl.leaving {
@@ -62,32 +62,32 @@
 	}) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, listWait)
+	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	set := ect.ctl.set
-	_ = set.Platform.Put(ctx, wire.Instance{ID: lineID(string(set.Self)), Addr: set.Self.Addr(), Pool: wire.PoolEntry, Zone: set.Zone, State: state})
+	_ = set.Platform.Put(ctx, wire.Instance{ID: entryID(string(set.Self)), Addr: set.Self.Addr(), Pool: wire.PoolEntry, Zone: set.Zone, State: state})
 }
 
-// lineID makes an incarnation fit for a path.
-func lineID(inc string) string { return strings.ReplaceAll(inc, "#", "~") }
+// entryID returns an incarnation in a form that is valid in a URL path.
+func entryID(inc string) string { return strings.ReplaceAll(inc, "#", "~") }
 
-// take compares the list with what is known. An empty list of endpoints is a
-// fault of the list and not the end of all endpoints: it is not taken.
-func (ect *endptsCtl) take(list []wire.Instance) {
+// applyList applies an instance list. A list without endpoints is ignored if endpoints are
+// known: it is more likely a fault of the list than the end of all endpoints.
+func (ect *endptsCtl) applyList(list []wire.Instance) {
 	pools := map[string][]route.Endpoint{}
 	listed := map[string]bool{}
 	for _, inst := range list {
 		if inst.Pool == wire.PoolEntry {
 			listed[inst.ID] = true
-			ect.meet(inst)
+			ect.probeListed(inst)
 			continue
 		}
-		_, left := ect.left[inst.Pool+"/"+inst.ID]
+		_, left := ect.leaving[inst.Pool+"/"+inst.ID]
 		leaving := left || inst.State == wire.StateLeaving
 		pools[inst.Pool] = append(pools[inst.Pool], route.Endpoint{ID: inst.ID, Addr: inst.Addr, Zone: inst.Zone, Leaving: leaving})
 	}
 	for _, who := range ect.ctl.members.list.Unconfirmed() {
-		if !listed[lineID(string(who))] {
+		if !listed[entryID(string(who))] {
 			ect.ctl.members.list.Delist(who)
 		}
 	}
@@ -98,15 +98,15 @@
 	ect.ctl.set.Runner.Sync(pools)
 }
 
-// meet probes an instance that stands in the list and is not known to live.
-func (ect *endptsCtl) meet(inst wire.Instance) {
+// probeListed probes a listed instance that is not known to be live.
+func (ect *endptsCtl) probeListed(inst wire.Instance) {
 	for _, mbr := range ect.ctl.members.list.All() {
-		if lineID(string(mbr.ID())) == inst.ID {
+		if entryID(string(mbr.ID())) == inst.ID {
 			return
 		}
 	}
 	for _, who := range ect.ctl.members.list.Unconfirmed() {
-		if lineID(string(who)) == inst.ID {
+		if entryID(string(who)) == inst.ID {
 			ect.ctl.members.group.Probe(inst.Addr, who)
 			return
 		}
@@ -115,33 +115,33 @@
 }
 
 func (ect *endptsCtl) step(now clock.Milli) {
-	for name, at := range ect.left {
-		if now-at > leftFor {
-			delete(ect.left, name)
+	for name, at := range ect.leaving {
+		if now-at > leavingTTL {
+			delete(ect.leaving, name)
 		}
 	}
 }
 
-// heardLeaving notes an endpoint that is leaving, whoever said so first, and
-// passes it on with the next probes: the instance list may lag or be down.
-func (ect *endptsCtl) heardLeaving(name string, now clock.Milli) {
-	if _, ok := ect.left[name]; ok {
+// noteLeaving records that an endpoint is leaving and reports it to the other instances with
+// the next probes, because the instance list may lag or be unavailable.
+func (ect *endptsCtl) noteLeaving(name string, now clock.Milli) {
+	if _, ok := ect.leaving[name]; ok {
 		return
 	}
-	ect.left[name] = now
+	ect.leaving[name] = now
 	if pool, id, ok := strings.Cut(name, "/"); ok {
 		ect.ctl.set.Runner.Leave(pool, id)
 	}
 }
 
-// lately lists the endpoints that were heard to be leaving.
-func (ect *endptsCtl) lately() []string {
-	names := make([]string, 0, len(ect.left))
-	for name := range ect.left {
+// leavingNames lists the endpoints that are known to be leaving.
+func (ect *endptsCtl) leavingNames() []string {
+	names := make([]string, 0, len(ect.leaving))
+	for name := range ect.leaving {
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	return names[:min(len(names), maxLeft)]
+	return names[:min(len(names), maxLeaving)]
 }
 
 func (ect *endptsCtl) demand() map[string]float64 {
@@ -151,20 +151,19 @@
 	return ect.rates()
 }
 
-// askLoads asks the endpoints that fall to this instance for their report. What
-// it is for: a leaving endpoint that nobody has sent work to lately says so
-// here, and the word is passed on with the next probes. Loads are not shared:
-// routing does without them, see package route.
-func (ect *endptsCtl) askLoads(ctx context.Context) {
+// pollLoads requests the reports of the endpoints that this instance owns. It detects a leaving
+// endpoint that has not received work recently, which is then reported to the other instances
+// with the next probes. Loads are not shared: routing does not need them, see package route.
+func (ect *endptsCtl) pollLoads(ctx context.Context) {
 	cli := engin.New()
-	tkr := time.NewTicker(loadEvery)
+	tkr := time.NewTicker(loadInterval)
 	defer tkr.Stop()
 	for {
-		var mine []wire.Instance
-		if !ect.ctl.Do(ctx, func(clock.Milli) { mine = ect.mine() }) {
+		var own []wire.Instance
+		if !ect.ctl.Do(ctx, func(clock.Milli) { own = ect.owned() }) {
 			return
 		}
-		ect.ask(ctx, cli, mine)
+		ect.queryLoads(ctx, cli, own)
 		select {
 		case <-ctx.Done():
 			return
@@ -173,9 +172,9 @@
 	}
 }
 
-// mine lists the endpoints of our data centre that fall to us. One in a data
-// centre without an instance falls to somebody all the same.
-func (ect *endptsCtl) mine() []wire.Instance {
+// owned lists the endpoints that this instance owns, normally those of its data centre. An
+// endpoint in a data centre without an instance is owned by an instance of another one.
+func (ect *endptsCtl) owned() []wire.Instance {
 	var own []wire.Instance
 	for _, inst := range ect.list {
 		if inst.Pool != wire.PoolEntry && ect.ctl.members.list.OwnerIn(inst.Zone, inst.ID) == ect.ctl.set.Self {
@@ -185,11 +184,11 @@
 	return own
 }
 
-func (ect *endptsCtl) ask(ctx context.Context, cli *engin.Client, mine []wire.Instance) {
-	ctx, cancel := context.WithTimeout(ctx, loadWait)
+func (ect *endptsCtl) queryLoads(ctx context.Context, cli *engin.Client, own []wire.Instance) {
+	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	var wgr sync.WaitGroup
-	for _, inst := range mine {
+	for _, inst := range own {
 		wgr.Add(1)
 		go func() {
 			defer wgr.Done()
--- a/internal/contr/leases.go
+++ b/internal/contr/leases.go
@@ -19,80 +19,79 @@
 )
 
 const (
-	// leaseOrders is the one lease there is: who orders endpoints about.
-	leaseOrders = "orders"
-	orderEvery  = time.Second
-	// orderWait bounds an order's way. It stays below lease.MaxOrderTime, within
-	// which a successor waits.
-	orderWait = 2 * time.Second
-	// acquireStep spreads the instances' tries for a free lease by rank.
+	// leaseOrders is the only lease: its holder sends orders to endpoints.
+	leaseOrders   = "orders"
+	orderInterval = time.Second
+	// orderTimeout bounds the time of an order in transit. It is below lease.MaxOrderTime, for
+	// which the next holder waits.
+	orderTimeout = 2 * time.Second
+	// acquireStep staggers the attempts to acquire a free lease by rank.
 	acquireStep = 500 * clock.Milli(1)
 )
 
-// leasesCtl holds the lease on orders, when it falls to this instance, and
-// sees to it that endpoints have the models that the documents name.
+// leasesCtl acquires the lease on orders. While this instance holds it, leasesCtl makes
+// endpoints load the models that the documents name.
 type leasesCtl struct {
-	ctl    *Control
-	book   lease.Table
-	app    *feed.Appender
-	grant  lease.Grant
-	sentID string
-	sentAt clock.Milli
-	freeAt clock.Milli
-	busy   bool
-	dueAt  clock.Milli
+	ctl       *Control
+	table     lease.Table
+	app       *feed.Appender
+	grant     lease.Grant
+	sentID    string
+	sentAt    clock.Milli
+	freeSince clock.Milli
+	busy      bool
+	dueAt     clock.Milli
 }
 
 func (lct *leasesCtl) tail(ctx context.Context) {
-	feed.Tail(ctx, lct.ctl.feed(), feed.Consumer{
+	feed.Tail(ctx, lct.ctl.feedSetup(), feed.Consumer{
 		Do:       lct.ctl.Do,
 		Stream:   platf.StreamLeases,
-		Next:     lct.book.Next,
-		Apply:    func(recs []oplog.Record, _ clock.Milli) { lct.book.Apply(recs); lct.noteGrant() },
-		Restart:  lct.book.Restart,
+		Next:     lct.table.Next,
+		Apply:    func(recs []oplog.Record, _ clock.Milli) { lct.table.Apply(recs); lct.updateGrant() },
+		Restart:  lct.table.Restart,
 		CaughtUp: func(clock.Milli) {},
 	})
 }
 
-// noteGrant brings our own view of the lease up to date when our last append is
-// the one that gave it its present end. Any other append of ours was sent
-// earlier than we count from, and would make us believe in a lease for longer
-// than the others do.
-func (lct *leasesCtl) noteGrant() {
-	ten, ok := lct.book.Find(leaseOrders)
+// updateGrant updates the grant if the last append of this instance determined the current
+// expiry of the lease. Any other append of this instance was sent before sentAt, and counting
+// from sentAt would make this instance assume the lease for longer than the others do.
+func (lct *leasesCtl) updateGrant() {
+	ten, ok := lct.table.Find(leaseOrders)
 	if ok && ten.Holder() == lct.ctl.set.Self && ten.ID() == lct.sentID {
 		lct.grant = lease.NewGrant(ten.Fence(), lct.sentAt)
 	}
 }
 
 func (lct *leasesCtl) step(now clock.Milli) {
-	wanted := lct.wanted()
-	if len(wanted) == 0 || lct.ctl.leaving {
+	tgts := lct.targets()
+	if len(tgts) == 0 || lct.ctl.leaving {
 		return
 	}
 	lct.acquire(now)
 	if lct.grant.Valid(now) && !lct.busy && now >= lct.dueAt {
-		lct.busy, lct.dueAt = true, now+clock.FromDuration(orderEvery)
+		lct.busy, lct.dueAt = true, now+clock.FromDuration(orderInterval)
 		grt := lct.grant
 		lct.ctl.loop.Go(func(ctx context.Context) {
-			lct.order(ctx, grt, wanted)
+			lct.order(ctx, grt, tgts)
 			lct.ctl.Do(ctx, func(clock.Milli) { lct.busy = false })
 		})
 	}
 }
 
-// acquire appends for the lease when it is free, or renews it.
+// acquire appends a record to acquire the lease if it is free, or to renew it.
 func (lct *leasesCtl) acquire(now clock.Milli) {
 	if now-lct.sentAt < lease.RenewInterval {
 		return
 	}
-	ten, ok := lct.book.Find(leaseOrders)
+	ten, ok := lct.table.Find(leaseOrders)
 	mine := ok && ten.Holder() == lct.ctl.set.Self && now < ten.Until()
-	if !mine && !lct.book.Available(leaseOrders, now) {
-		lct.freeAt = 0
+	if !mine && !lct.table.Available(leaseOrders, now) {
+		lct.freeSince = 0
 		return
 	}
-	if !mine && !lct.turn(now) {
+	if !mine && !lct.mayTry(now) {
 		return
 	}
 	id := ident.NewID()
@@ -101,24 +100,25 @@
 	lct.app.Add(feed.Record{Body: ent.Encode(), Expires: now + lease.RenewInterval})
 }
 
-// turn lets the instances try for a free lease one after another.
-func (lct *leasesCtl) turn(now clock.Milli) bool {
-	if lct.freeAt == 0 {
-		lct.freeAt = now
+// mayTry reports whether it is this instance's turn to try for a free lease. The instances try
+// one after another, by rank.
+func (lct *leasesCtl) mayTry(now clock.Milli) bool {
+	if lct.freeSince == 0 {
+		lct.freeSince = now
 	}
 	rank := clock.Milli(lct.ctl.members.list.Rank())
-	return now-lct.freeAt >= rank*acquireStep
+	return now-lct.freeSince >= rank*acquireStep
 }
 
-// want is an endpoint with the model that it should have.
-type want struct {
+// target is an endpoint and the model that it should have loaded.
+type target struct {
 	pool, id, addr, model string
 }
 
-// wanted lists the endpoints whose stages name a model. When two services name
-// different models for one pool, the service whose name sorts first decides, so
-// that no pool is ordered back and forth.
-func (lct *leasesCtl) wanted() []want {
+// targets lists the endpoints whose stages name a model. If two services name different models
+// for one pool, the service whose name sorts first decides, so that the endpoints are not
+// switched back and forth.
+func (lct *leasesCtl) targets() []target {
 	models := map[string]string{}
 	var names []string
 	docs := lct.ctl.view.Load().Docs()
@@ -129,10 +129,10 @@
 	for _, name := range names {
 		addModels(models, docs[name].Doc())
 	}
-	var list []want
+	var list []target
 	for _, inst := range lct.ctl.endpts.list {
 		if model := models[inst.Pool]; model != "" && inst.State == wire.StateLive {
-			list = append(list, want{pool: inst.Pool, id: inst.ID, addr: inst.Addr, model: model})
+			list = append(list, target{pool: inst.Pool, id: inst.ID, addr: inst.Addr, model: model})
 		}
 	}
 	return list
@@ -147,26 +147,26 @@
 	}
 }
 
-// order reads each endpoint's state back and corrects it. The grant is looked
-// at last thing before each order: a pause may have come in any step before.
-func (lct *leasesCtl) order(ctx context.Context, grt lease.Grant, wanted []want) {
+// order reads the state of each endpoint and corrects it. The grant is checked immediately
+// before each order, because the process may have been paused in any step before.
+func (lct *leasesCtl) order(ctx context.Context, grt lease.Grant, tgts []target) {
 	cli := engin.New()
-	for _, wnt := range wanted {
-		octx, cancel := context.WithTimeout(ctx, orderWait)
-		rep, ok := cli.Load(octx, wnt.addr)
-		if ok && rep.Model != wnt.model && grt.Valid(lct.ctl.set.Clock.Now()) {
-			lct.send(octx, cli, wnt, grt)
+	for _, tgt := range tgts {
+		octx, cancel := context.WithTimeout(ctx, orderTimeout)
+		rep, ok := cli.Load(octx, tgt.addr)
+		if ok && rep.Model != tgt.model && grt.Valid(lct.ctl.set.Clock.Now()) {
+			lct.send(octx, cli, tgt, grt)
 		}
 		cancel()
 	}
 }
 
-func (lct *leasesCtl) send(ctx context.Context, cli *engin.Client, wnt want, grt lease.Grant) {
-	end := cli.Order(ctx, wnt.addr, wire.Order{Fence: grt.Fence(), Model: wnt.model})
+func (lct *leasesCtl) send(ctx context.Context, cli *engin.Client, tgt target, grt lease.Grant) {
+	end := cli.Order(ctx, tgt.addr, wire.Order{Fence: grt.Fence(), Model: tgt.model})
 	lct.ctl.set.Meter.CountEvent(meter.EventOrderSent)
 	if end == ending.Refused {
 		lct.ctl.set.Meter.CountEvent(meter.EventOrderRefused)
 	}
-	lct.ctl.set.Log.Info().Str("endpoint", wnt.id).Str("model", wnt.model).Int64("fence", grt.Fence()).
+	lct.ctl.set.Log.Info().Str("endpoint", tgt.id).Str("model", tgt.model).Int64("fence", grt.Fence()).
 		Str("ended", end.String()).Msg("order sent")
 }
--- a/internal/contr/members.go
+++ b/internal/contr/members.go
@@ -11,7 +11,7 @@
 	"amaranthvalve/pkg/member"
 )
 
-// membersCtl keeps the list of instances.
+// membersCtl tracks the member instances.
 type membersCtl struct {
 	ctl     *Control
 	list    *member.List
@@ -20,33 +20,33 @@
 	demand  map[ident.Incarnation]map[string]float64
 }
 
-// open makes the controller of an instance that knows only itself.
+// open initializes the controller with a list that has only this instance.
 func (mct *membersCtl) open(ctl *Control, now clock.Milli) {
 	mct.ctl = ctl
 	mct.list = member.New(ctl.set.Self, ctl.set.Zone, ctl.set.CallerAddr, now)
 	mct.group = group.Group{
 		Self: ctl.set.Self, List: mct.list, Link: ctl.set.Link, Offer: ctl.loop.Offer, Go: ctl.loop.Go,
-		Now: ctl.set.Clock.Now, Attach: mct.dress, OnMessage: mct.heard,
+		Now: ctl.set.Clock.Now, Attach: mct.attach, OnMessage: mct.receive,
 	}
 }
 
 func (mct *membersCtl) step(now clock.Milli) {
 	mct.list.SetSelf(mct.ctl.docs.reg.Applied(), int(mct.ctl.load.Load()), mct.ctl.leaving, now)
 	mct.group.Tick(now)
-	mct.keepDemands()
+	mct.publishDemands()
 	mct.changed = true
 }
 
-// dress adds what rides along on probes and their answers.
-func (mct *membersCtl) dress(msg *peer.Message) {
-	msg.Leaving, msg.Demand = mct.ctl.endpts.lately(), mct.ctl.endpts.demand()
+// attach adds the data piggybacked on probes and their answers.
+func (mct *membersCtl) attach(msg *peer.Message) {
+	msg.Leaving, msg.Demand = mct.ctl.endpts.leavingNames(), mct.ctl.endpts.demand()
 }
 
-// heard takes what rode along.
-func (mct *membersCtl) heard(msg peer.Message, _, now clock.Milli) {
+// receive processes the data piggybacked on a message.
+func (mct *membersCtl) receive(msg peer.Message, _, now clock.Milli) {
 	mct.changed = true
 	for _, name := range msg.Leaving {
-		mct.ctl.endpts.heardLeaving(name, now)
+		mct.ctl.endpts.noteLeaving(name, now)
 	}
 	if mct.demand == nil {
 		mct.demand = map[ident.Incarnation]map[string]float64{}
@@ -56,7 +56,7 @@
 	}
 }
 
-// Handle answers another instance; it is given to the link.
+// Handle answers a message of another instance. It is the handler of the peer link.
 func (ctl *Control) Handle(ctx context.Context, msg peer.Message) peer.Message {
 	if msg.Kind == peer.IndirectProbe {
 		return ctl.members.group.ProbeIndirect(ctx, msg)
@@ -68,7 +68,7 @@
 	return ans
 }
 
-// answer takes a message on the control thread.
+// answer handles a message on the control loop.
 func (ctl *Control) answer(msg peer.Message, now clock.Milli) peer.Message {
 	ctl.members.group.Receive(msg, now, now)
 	ans := peer.Message{Kind: peer.Nack, From: ctl.set.Self}
@@ -76,7 +76,7 @@
 	case peer.Probe:
 		return ctl.members.group.Message(peer.OK, msg.From)
 	case peer.GetState:
-		if body, ok := ctl.docs.stateFor(); ok {
+		if body, ok := ctl.docs.encodeState(); ok {
 			ans.Kind, ans.Body = peer.OK, body
 		}
 	case peer.GetAnswer:
--- a/internal/contr/publish.go
+++ b/internal/contr/publish.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	publishPoll = 20 * time.Millisecond
-	// decideWait bounds the time until an offer's record is read back.
-	decideWait = 15 * time.Second
-	// maxInForceWait bounds how long a publisher may wait for everybody.
+	publishPollInterval = 20 * time.Millisecond
+	// decisionTimeout bounds the time until the record of an offer is read back.
+	decisionTimeout = 15 * time.Second
+	// maxInForceWait bounds how long a publisher may wait until a document is in force at all
+	// instances.
 	maxInForceWait = clock.Minute
 )
 
-// Publish offers a document to the log and tells what became of it: whether the
-// fold accepted it, and whether it is in force at every live instance.
+// Publish offers a document to the log and returns the outcome: whether the replicated state
+// machine accepted it, and whether it is in force at every live instance.
 //
-// An append whose answer is lost is settled by reading back: the offer is
-// decided when the fold has met its id. If that does not happen in time the
-// verdict is undecided, and the same call with the same id may be repeated; the
-// offer counts once.
+// An append whose answer is lost is resolved by reading back: the offer is decided once the
+// state machine has applied a record with its id. If that does not happen in time, the verdict
+// is undecided, and the call may be repeated with the same id; the offer takes effect once.
 func (ctl *Control) Publish(ctx context.Context, service string, pub wire.Publish) wire.Published {
 	began := ctl.set.Clock.Now()
 	doc, fts := svcdoc.Parse([]byte(pub.Text))
@@ -36,28 +36,28 @@
 		return wire.Published{Verdict: oplog.Invalid.String(), Detail: fts.Err().Error()}
 	}
 	if doc.Name() != service {
-		return wire.Published{Verdict: oplog.Invalid.String(), Detail: "name: the document is of service " + doc.Name()}
+		return wire.Published{Verdict: oplog.Invalid.String(), Detail: "name: the document belongs to service " + doc.Name()}
 	}
 	dec, ok := ctl.decide(ctx, service, pub)
 	if !ok {
 		return wire.Published{
 			Verdict: oplog.Undecided.String(), TookMs: ctl.set.Clock.Since(began),
-			Detail: "the log did not confirm the offer; repeat it with the same id to learn what became of it",
+			Detail: "the log did not confirm the offer; repeat the call with the same id to learn the outcome",
 		}
 	}
 	ans := wire.Published{Verdict: dec.Verdict().String(), Detail: dec.Detail()}
 	if dec.Verdict() == oplog.Accepted {
 		ans.Revision = dec.Offset()
-		ans.InForce, ans.Behind = ctl.awaitForce(ctx, dec.Offset(), min(pub.WaitMs, maxInForceWait))
+		ans.InForce, ans.Behind = ctl.awaitInForce(ctx, dec.Offset(), min(pub.WaitMs, maxInForceWait))
 	}
 	ans.TookMs = ctl.set.Clock.Since(began)
 	return ans
 }
 
 func (ctl *Control) decide(ctx context.Context, service string, pub wire.Publish) (oplog.Decision, bool) {
-	ctx, cancel := context.WithTimeout(ctx, decideWait)
+	ctx, cancel := context.WithTimeout(ctx, decisionTimeout)
 	defer cancel()
-	until := ctl.set.Clock.Now() + clock.FromDuration(decideWait)
+	until := ctl.set.Clock.Now() + clock.FromDuration(decisionTimeout)
 	ent := oplog.Entry{Kind: oplog.KindOffer, ID: pub.ID, Service: service, Text: pub.Text, Base: pub.Base, By: pub.By}
 	sent := false
 	for {
@@ -74,26 +74,26 @@
 		if found && dec.Verdict() != oplog.Undecided {
 			return dec, true
 		}
-		if !feed.Sleep(ctx, publishPoll) {
+		if !feed.Sleep(ctx, publishPollInterval) {
 			return oplog.Decision{}, false
 		}
 	}
 }
 
-// awaitForce waits until every instance goes by the offset or newer.
-func (ctl *Control) awaitForce(ctx context.Context, offset int64, wait clock.Milli) (bool, []string) {
+// awaitInForce waits until every instance has applied the offset.
+func (ctl *Control) awaitInForce(ctx context.Context, offset int64, wait clock.Milli) (bool, []string) {
 	until := ctl.set.Clock.Now() + wait
 	for {
-		var late []ident.Incarnation
-		if !ctl.Do(ctx, func(now clock.Milli) { late = ctl.docs.behind(offset, now) }) {
+		var lagging []ident.Incarnation
+		if !ctl.Do(ctx, func(now clock.Milli) { lagging = ctl.docs.behind(offset, now) }) {
 			return false, nil
 		}
-		if len(late) == 0 {
+		if len(lagging) == 0 {
 			return true, nil
 		}
-		if ctl.set.Clock.Now() >= until || !feed.Sleep(ctx, publishPoll) {
-			names := make([]string, len(late))
-			for i, who := range late {
+		if ctl.set.Clock.Now() >= until || !feed.Sleep(ctx, publishPollInterval) {
+			names := make([]string, len(lagging))
+			for i, who := range lagging {
 				names[i] = string(who)
 			}
 			return false, names
@@ -101,14 +101,14 @@
 	}
 }
 
-// SnapshotNow appends all documents again at once and gives the number of
-// records; it is what takeSnapshot does when they grow old.
+// SnapshotNow appends all documents again immediately, as takeSnapshot does by age, and returns
+// the number of records.
 func (ctl *Control) SnapshotNow(ctx context.Context) int {
-	count, _ := loop.Get(ctx, ctl.loop, func(now clock.Milli) int { return ctl.docs.appendAgain(now, now+1) })
+	count, _ := loop.Get(ctx, ctl.loop, func(now clock.Milli) int { return ctl.docs.reappend(now, now+1) })
 	return count
 }
 
-// History gives a service's last decisions.
+// History returns the last decisions on a service's documents.
 func (ctl *Control) History(ctx context.Context, service string) []wire.Change {
 	list, ok := loop.Get(ctx, ctl.loop, func(clock.Milli) []wire.Change {
 		list := []wire.Change{}
@@ -126,7 +126,7 @@
 	return list
 }
 
-// Status tells a person how the instance stands.
+// Status returns the status of the instance for operators.
 func (ctl *Control) Status(ctx context.Context) wire.Status {
 	vw := ctl.View()
 	st := wire.Status{
@@ -138,22 +138,22 @@
 	if ctl.Stopping() {
 		st.Ready, st.NotReadyReason = false, outcm.Stopping.String()
 	}
-	if told, ok := loop.Get(ctx, ctl.loop, func(now clock.Milli) wire.Status { return ctl.fill(st, now) }); ok {
-		st = told
+	if full, ok := loop.Get(ctx, ctl.loop, func(now clock.Milli) wire.Status { return ctl.fill(st, now) }); ok {
+		st = full
 	}
-	for name, hld := range vw.Docs() {
-		st.Services = append(st.Services, wire.StatusService{Service: name, Revision: hld.Revision()})
+	for name, dvr := range vw.Docs() {
+		st.Services = append(st.Services, wire.StatusService{Service: name, Revision: dvr.Revision()})
 	}
 	st.Endpoints = ctl.endpointStatus()
 	sortStatus(&st)
 	return st
 }
 
-// fill adds what the control thread knows to a status.
+// fill adds the state owned by the control loop to a status.
 func (ctl *Control) fill(st wire.Status, now clock.Milli) wire.Status {
 	st.LogAgeMs = now - ctl.docs.logAsOf
 	st.Keys = ctl.claims.ldg.Len()
-	for name, ten := range ctl.leases.book.All() {
+	for name, ten := range ctl.leases.table.All() {
 		st.Leases = append(st.Leases, wire.NewStatusLease(name, ten))
 	}
 	for _, mbr := range ctl.members.list.All() {
--- a/internal/contr/status.go
+++ b/internal/contr/status.go
@@ -41,7 +41,7 @@
 	})
 }
 
-// Entries answers "which address": the instances that take work, best first.
+// Entries returns the addresses that are offered to callers: the live instances, best first.
 func (ctl *Control) Entries(zone string, rng *rand.Rand) []wire.Entry {
 	var cands []route.Entry
 	for _, mbr := range ctl.View().Members() {
@@ -56,13 +56,14 @@
 	return list
 }
 
-// SetRates gives the control thread a way to learn this instance's requests a
-// second by workspace; before Run only.
+// SetRates sets the function that returns this instance's requests per second by workspace. It
+// must be called before Run.
 func (ctl *Control) SetRates(rates func() map[string]float64) { ctl.endpts.rates = rates }
 
-// Others gives the other live instances' requests a second for a workspace, for
-// the division of its rate. It reads a copy made with each probe.
-func (ctl *Control) Others(workspace string) []float64 {
+// OtherRates returns the requests per second of a workspace at each of the other live
+// instances, for the division of its rate. It reads a copy made in each step of the
+// controllers.
+func (ctl *Control) OtherRates(workspace string) []float64 {
 	table := ctl.demands.Load()
 	if table == nil {
 		return nil
@@ -74,13 +75,13 @@
 	return list
 }
 
-// Part gives this instance's part of a workspace's rate.
-func (ctl *Control) Part(workspace string, rate, own float64) float64 {
-	return limit.Share(rate, own, ctl.Others(workspace))
+// RateShare returns this instance's share of a workspace's rate.
+func (ctl *Control) RateShare(workspace string, rate, own float64) float64 {
+	return limit.Share(rate, own, ctl.OtherRates(workspace))
 }
 
-// keepDemands publishes a copy of the live members' demands for traffic.
-func (mct *membersCtl) keepDemands() {
+// publishDemands publishes a copy of the live members' demands to the request path.
+func (mct *membersCtl) publishDemands() {
 	table := map[ident.Incarnation]map[string]float64{}
 	for _, mbr := range mct.list.All() {
 		if mbr.ID() != mct.ctl.set.Self {
--- a/internal/contr/view_test.go
+++ b/internal/contr/view_test.go
@@ -6,10 +6,10 @@
 	"github.com/onsi/gomega"
 )
 
-// TestViewRunsOut: a process is frozen with a good view and wakes after its
-// time. A request that waited in its sockets is read before the control thread
-// has run; it must not be served by the old documents.
-func TestViewRunsOut(t *testing.T) {
+// Guards against serving with outdated documents after a freeze. A process is frozen while its
+// view is ready and resumes after the view's expiry. A request that waited in its sockets is
+// read before the control loop has run.
+func TestViewExpires(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	vw := &View{ready: true, until: 5000}
 	ready, _ := vw.Ready(5000)
--- a/internal/filter/entry.go
+++ b/internal/filter/entry.go
@@ -19,36 +19,36 @@
 
 // Bounds of a request.
 const (
-	// MaxBody bounds a request's body, in bytes.
+	// MaxBody bounds the body of a request, in bytes.
 	MaxBody       = 4 << 20
 	maxTokens     = 8192
 	defaultTokens = 16
-	// staleRetry and stopRetry are when to come back, elsewhere.
-	staleRetry = clock.Second
-	stopRetry  = 100 * clock.Milli(1)
+	// staleRetryAfter and stopRetryAfter are retry-after delays, meant for another instance.
+	staleRetryAfter = clock.Second
+	stopRetryAfter  = 100 * clock.Milli(1)
 )
 
-var keyRule = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,128}$`)
+var keyPattern = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,128}$`)
 
-// ready refuses new work while it is not known that the documents are in force,
-// and at the end of a planned stop.
+// ready refuses new work while the documents may be outdated, and at the end of a planned
+// shutdown.
 func (chn *Chain) ready(ctx context.Context, cl *Call, next chain.Next[*Call]) outcm.Result {
 	if chn.ctl.Stopping() {
-		return outcm.Refuse(outcm.Stopping, stopRetry, "this instance is stopping, use another address")
+		return outcm.Refuse(outcm.Stopping, stopRetryAfter, "this instance is stopping; use another address")
 	}
 	if ready, why := chn.ctl.View().Ready(chn.clk.Now()); !ready {
-		return outcm.Refuse(outcm.StaleView, staleRetry, why+"; use another address")
+		return outcm.Refuse(outcm.StaleView, staleRetryAfter, why+"; use another address")
 	}
 	return next(ctx, cl)
 }
 
 // document finds the service and the kind of request.
 func (chn *Chain) document(ctx context.Context, cl *Call, next chain.Next[*Call]) outcm.Result {
-	hld, ok := chn.ctl.View().Doc(cl.Service)
+	dvr, ok := chn.ctl.View().Doc(cl.Service)
 	if !ok {
 		return outcm.New(outcm.NotRun, outcm.UnknownService, fmt.Sprintf("no document names a service %q", cl.Service))
 	}
-	cl.doc = hld.Doc()
+	cl.doc = dvr.Doc()
 	kind, ok := cl.doc.Request(cl.Submit.Request)
 	if !ok {
 		return outcm.New(outcm.NotRun, outcm.UnknownRequestKind, fmt.Sprintf("request: service %s has no kind %q", cl.Service, cl.Submit.Request))
@@ -57,19 +57,18 @@
 	return next(ctx, cl)
 }
 
-// identify finds the workspace and checks its token. An unknown workspace and a
-// wrong token are told in the same words, so that names can't be found out by
-// trying.
+// identify finds the workspace and checks its token. An unknown workspace and a wrong token get
+// the same result, so that names of workspaces can't be found by trial.
 func (chn *Chain) identify(ctx context.Context, cl *Call, next chain.Next[*Call]) outcm.Result {
 	wsp, ok := cl.doc.Workspace(cl.Workspace)
-	if !ok || !tokenFits(wsp, cl.Token) {
+	if !ok || !tokenMatches(wsp, cl.Token) {
 		return outcm.New(outcm.NotRun, outcm.UnknownWorkspace, "the workspace may not call this service, or its token is wrong")
 	}
 	cl.wsp = wsp
 	return next(ctx, cl)
 }
 
-func tokenFits(wsp svcdoc.Workspace, token string) bool {
+func tokenMatches(wsp svcdoc.Workspace, token string) bool {
 	if wsp.TokenHash() == "" {
 		return true
 	}
@@ -78,7 +77,7 @@
 	return subtle.ConstantTimeCompare([]byte(got), []byte(wsp.TokenHash())) == 1
 }
 
-// check looks at the request itself.
+// check validates the fields of the request.
 func (chn *Chain) check(ctx context.Context, cl *Call, next chain.Next[*Call]) outcm.Result {
 	if res := chn.checkDeadline(cl); res.Outcome() != outcm.Pending {
 		return res
@@ -92,21 +91,21 @@
 	return next(ctx, cl)
 }
 
-func bad(rs outcm.Reason, format string, args ...any) outcm.Result {
+func invalid(rs outcm.Reason, format string, args ...any) outcm.Result {
 	return outcm.New(outcm.NotRun, rs, fmt.Sprintf(format, args...))
 }
 
 func (chn *Chain) checkDeadline(cl *Call) outcm.Result {
 	span := cl.doc.Deadline()
 	if cl.Submit.DeadlineMs < 0 {
-		return bad(outcm.BadRequest, "deadline_ms: %d is below 0", cl.Submit.DeadlineMs)
+		return invalid(outcm.BadRequest, "deadline_ms: %d is below 0", cl.Submit.DeadlineMs)
 	}
 	if cl.Submit.DeadlineMs > 0 {
 		span = min(span, cl.Submit.DeadlineMs)
 	}
-	cl.deadline = cl.arrived + span
+	cl.deadline = cl.arrivedAt + span
 	if cl.Submit.MaxTokens < 0 || cl.Submit.MaxTokens > maxTokens {
-		return bad(outcm.BadRequest, "max_tokens: %d is not in 0 to %d", cl.Submit.MaxTokens, maxTokens)
+		return invalid(outcm.BadRequest, "max_tokens: %d is not in 0 to %d", cl.Submit.MaxTokens, maxTokens)
 	}
 	if cl.Submit.MaxTokens == 0 {
 		cl.Submit.MaxTokens = defaultTokens
@@ -117,29 +116,29 @@
 func (chn *Chain) checkKey(cl *Call) outcm.Result {
 	if !cl.kind.NonIdempotent() {
 		if cl.Submit.Key != "" {
-			return bad(outcm.BadRequest, "key: requests of kind %s are idempotent and take none", cl.kind.Name())
+			return invalid(outcm.BadRequest, "key: requests of kind %s are idempotent and take no key", cl.kind.Name())
 		}
 		return outcm.Result{}
 	}
 	if cl.Submit.Key == "" {
-		return bad(outcm.KeyMissing, "key: requests of kind %s run at most once and need a key with expires_ms", cl.kind.Name())
+		return invalid(outcm.KeyMissing, "key: requests of kind %s run at most once and require a key and expires_ms", cl.kind.Name())
 	}
-	if !keyRule.MatchString(cl.Submit.Key) {
-		return bad(outcm.BadRequest, "key: 1 to 128 of letters, digits, '.', '_', ':' and '-'")
+	if !keyPattern.MatchString(cl.Submit.Key) {
+		return invalid(outcm.BadRequest, "key: it must have 1 to 128 characters of letters, digits, '.', '_', ':' and '-'")
 	}
-	if !expiryFits(cl.Submit.ExpiresMs, cl.arrived, cl.doc.KeyLife()) {
-		return bad(outcm.BadRequest, "expires_ms: %d is not an instant within the next %d ms", cl.Submit.ExpiresMs, cl.doc.KeyLife())
+	if !isValidExpiry(cl.Submit.ExpiresMs, cl.arrivedAt, cl.doc.KeyLife()) {
+		return invalid(outcm.BadRequest, "expires_ms: %d is not an instant within the next %d ms", cl.Submit.ExpiresMs, cl.doc.KeyLife())
 	}
 	return outcm.Result{}
 }
 
-// clockSkew is how far a caller's clock may be ahead of ours. A caller that asks for the
-// longest life says an instant by its own clock, and was refused when that was a millisecond
-// ahead. Ledgers keep room of an hour for it (package claim).
+// clockSkew is how far a caller's clock may be ahead of that of the instance. Without it, a
+// caller that requests the longest key life by its own clock is refused if that clock is ahead
+// by a millisecond. Ledgers allow for an hour of skew (package claim).
 const clockSkew = 2 * clock.Second
 
-// expiryFits tells whether an instant may be a key's expiry.
-func expiryFits(expires, now, life clock.Milli) bool {
+// isValidExpiry reports whether an instant is valid as the expiry of a key.
+func isValidExpiry(expires, now, life clock.Milli) bool {
 	return expires > 0 && expires <= now+min(life+clockSkew, claim.MaxLife)
 }
 
@@ -149,63 +148,64 @@
 		return outcm.Result{}
 	}
 	if cl.kind.NonIdempotent() {
-		return bad(outcm.BadResume, "resume: a request with a key is repeated with its key, not resumed")
+		return invalid(outcm.BadResume, "resume: requests of a non-idempotent kind can't be resumed; repeat the request with its key")
 	}
-	tkn, err := chn.keys.open(rsm.Token)
+	tkn, err := chn.sealer.open(rsm.Token)
 	if err != nil || tkn.Digest != cl.digest() {
-		return bad(outcm.BadResume, "resume.token: it is not one of this request of this workspace")
+		return invalid(outcm.BadResume, "resume.token: it was not issued for this request of this workspace")
 	}
 	if len(rsm.Have) > cl.Submit.MaxTokens {
-		return bad(outcm.BadResume, "resume.have: %d texts are more than max_tokens %d", len(rsm.Have), cl.Submit.MaxTokens)
+		return invalid(outcm.BadResume, "resume.have: %d tokens exceed max_tokens %d", len(rsm.Have), cl.Submit.MaxTokens)
 	}
-	cl.requestID, cl.place = tkn.RequestID, tkn.Place
+	cl.requestID, cl.stream = tkn.RequestID, tkn.Stream
 	return outcm.Result{}
 }
 
-// claim takes a non-idempotent request's key, or hands out what became of it.
+// claim claims the key of a non-idempotent request, or returns the outcome recorded for the
+// key.
 func (chn *Chain) claim(ctx context.Context, cl *Call, next chain.Next[*Call]) outcm.Result {
 	if !cl.kind.NonIdempotent() {
 		return next(ctx, cl)
 	}
-	cl.claim = contr.ClaimAsk{
+	cl.claim = contr.ClaimRequest{
 		Key:     claim.FullKey(cl.Workspace, cl.Service, cl.Submit.Key),
 		Attempt: ident.NewID(), Digest: cl.digest(), Expires: cl.Submit.ExpiresMs,
 	}
 	cl.claim.Boot, _ = claim.TicketBoot(cl.Submit.Key)
 	cl.requestID = cl.claim.Key
-	if res := chn.beforeClaim(ctx, cl); res.Outcome() != outcm.Pending {
+	if res := chn.admitBeforeClaim(ctx, cl); res.Outcome() != outcm.Pending {
 		return res
 	}
 	wctx, cancel := context.WithDeadline(ctx, chn.clk.Deadline(cl.deadline))
 	defer cancel()
-	cld := chn.ctl.Claim(wctx, cl.claim)
-	cl.looked = cld.Looked
-	switch cld.Move {
+	crs := chn.ctl.Claim(wctx, cl.claim)
+	cl.lookedUp = crs.LookedUp
+	switch crs.Move {
 	case claim.Run:
 		return chn.runClaimed(ctx, cl, next)
 	case claim.Answer:
-		cl.output = cld.Answer
-		if cld.Result.Outcome() == outcm.Done {
-			return outcm.New(outcm.Done, outcm.Recorded, "the request ran before; this is its recorded answer")
+		cl.output = crs.Answer
+		if crs.Result.Outcome() == outcm.Done {
+			return outcm.New(outcm.Done, outcm.Recorded, "the request ran earlier; this is its recorded answer")
 		}
 	}
-	return cld.Result
+	return crs.Result
 }
 
-// beforeClaim refuses what can't be answered in time before it costs an append:
-// in an overload the log would otherwise take a claim and a release for each
-// refused request. A key that is known here is not refused, for its answer may
-// be recorded.
-func (chn *Chain) beforeClaim(ctx context.Context, cl *Call) outcm.Result {
+// admitBeforeClaim refuses a request that can't be answered in time before it costs an append:
+// under overload the log would otherwise receive a claim and a release for each refused
+// request. A request whose key is known here is not refused, because its answer may be
+// recorded.
+func (chn *Chain) admitBeforeClaim(ctx context.Context, cl *Call) outcm.Result {
 	if !chn.ctl.IsFree(ctx, cl.claim) {
 		return outcm.Result{}
 	}
 	return chn.rnr.Admit(cl.job(chn))
 }
 
-// runClaimed runs a request whose key is held by this attempt, and then gives
-// the key back or settles it. The caller's going away does not stop it: the
-// effect may have begun, and the answer is wanted by a repeat.
+// runClaimed runs a request whose key is held by this attempt, then settles or releases the
+// key. It continues if the caller disconnects: the effect may have begun, and a repeat needs
+// the answer.
 func (chn *Chain) runClaimed(ctx context.Context, cl *Call, next chain.Next[*Call]) outcm.Result {
 	res := next(context.WithoutCancel(ctx), cl)
 	switch res.Outcome() {
@@ -217,7 +217,7 @@
 	return res
 }
 
-// admit refuses at once what can't be answered in time.
+// admit refuses a request at once if it can't be answered in time.
 func (chn *Chain) admit(ctx context.Context, cl *Call, next chain.Next[*Call]) outcm.Result {
 	if res := chn.rnr.Admit(cl.job(chn)); res.Outcome() != outcm.Pending {
 		return res
--- a/internal/filter/filter.go
+++ b/internal/filter/filter.go
@@ -17,46 +17,47 @@
 	"amaranthvalve/pkg/svcdoc"
 )
 
-// Call is one request on its way through the chain. The first fields are given
-// by whoever received it, the others are filled by the filters.
+// Call is one request in the chain. The exported fields are set by the receiver of the request,
+// the others by the filters.
 type Call struct {
 	Service   string
 	Workspace string
 	Token     string
 	Submit    wire.Submit
-	// Opened and Take are told of a stream's start and tokens; nil when the
-	// caller wants its answer in one piece.
+	// Opened is called when a stream starts, Take with each of its tokens. Both are nil if the
+	// caller requests a single complete answer.
 	Opened func(resume string)
 	Take   func(wire.Token) error
 
-	arrived   clock.Milli
+	arrivedAt clock.Milli
 	requestID string
 	doc       *svcdoc.Document
 	kind      svcdoc.Request
 	wsp       svcdoc.Workspace
 	deadline  clock.Milli
-	place     stage.Place
-	claim     contr.ClaimAsk
-	looked    bool
+	stream    stage.StreamRef
+	claim     contr.ClaimRequest
+	lookedUp  bool
 	times     []wire.StageTime
 	output    string
 	count     int
 }
 
-// RequestID names the request: by its key where it has one.
+// RequestID returns the identifier of the request, which is derived from its key if it has one.
 func (cl *Call) RequestID() string { return cl.requestID }
 
-// Times gives how the stages went.
+// Times returns the times of the stages.
 func (cl *Call) Times() []wire.StageTime { return cl.times }
 
-// Output gives the answer of a request that is done.
+// Output returns the answer of a request that is done.
 func (cl *Call) Output() string { return cl.output }
 
-// Count gives the number of tokens of a generated answer.
+// Count returns the number of tokens of a generated answer.
 func (cl *Call) Count() int { return cl.count }
 
-// DocName gives the service's name if a document has it, else nothing: it is a
-// counter's label, and callers must not make those up.
+// DocName returns the name of the service if there is a document for it, otherwise the empty
+// string. The name is the label of a metric, so that callers must not be able to choose it
+// freely.
 func (cl *Call) DocName() string {
 	if cl.doc == nil {
 		return ""
@@ -66,16 +67,16 @@
 
 // Chain is the chain of all filters.
 type Chain struct {
-	ctl   *contr.Control
-	rnr   *stage.Runner
-	clk   clock.Clock
-	mtr   *meter.Meter
-	keys  sealer
-	limit *limitFilter
-	head  chain.Next[*Call]
+	ctl    *contr.Control
+	rnr    *stage.Runner
+	clk    clock.Clock
+	mtr    *meter.Meter
+	sealer sealer
+	limit  *limitFilter
+	head   chain.Next[*Call]
 }
 
-// Setup is what a chain is made of.
+// Setup configures a chain.
 type Setup struct {
 	Control     *contr.Control
 	Runner      *stage.Runner
@@ -85,11 +86,11 @@
 	MaxInFlight int
 }
 
-// New returns the chain with its filters in their order.
+// New returns the chain with its filters in order.
 func New(set Setup) *Chain {
 	chn := &Chain{
 		ctl: set.Control, rnr: set.Runner, clk: set.Clock, mtr: set.Meter,
-		keys: sealer{key: set.ResumeKey}, limit: newLimit(set),
+		sealer: sealer{key: set.ResumeKey}, limit: newLimit(set),
 	}
 	chn.head = chain.Link(
 		chn.run,
@@ -99,30 +100,30 @@
 	return chn
 }
 
-// Serve takes a request through the chain and counts its end.
+// Serve runs a request through the chain and counts its result.
 func (chn *Chain) Serve(ctx context.Context, cl *Call) outcm.Result {
-	cl.arrived = chn.clk.Now()
+	cl.arrivedAt = chn.clk.Now()
 	cl.requestID = ident.NewID()
 	res := chn.head(ctx, cl)
 	if cl.Submit.Key != "" {
-		res = res.QualifyRefusal(cl.Submit.First, cl.looked)
+		res = res.QualifyRefusal(cl.Submit.First, cl.lookedUp)
 	}
-	chn.mtr.CountRequest(cl.DocName(), res, chn.clk.Since(cl.arrived))
+	chn.mtr.CountRequest(cl.DocName(), res, chn.clk.Since(cl.arrivedAt))
 	return res
 }
 
-// InFlight gives the number of requests that were let in and have not ended.
+// InFlight returns the number of admitted requests that have not ended.
 func (chn *Chain) InFlight() int {
 	chn.limit.mtx.Lock()
 	defer chn.limit.mtx.Unlock()
 	return chn.limit.inFlight
 }
 
-// Rates gives this instance's requests a second by workspace.
+// Rates returns this instance's requests per second by workspace.
 func (chn *Chain) Rates() map[string]float64 { return chn.limit.rates() }
 
-// digest hashes what a request asks for. Its key, deadline and manner of
-// answering may differ from one attempt to the next.
+// digest returns the hash of the content of a request. Its key, its deadline and whether it
+// streams are not included, because they may differ between attempts.
 func (cl *Call) digest() string {
 	sum := sha256.New()
 	for _, part := range []string{cl.Workspace, cl.Service, cl.kind.Name(), cl.Submit.Input} {
--- a/internal/filter/limit.go
+++ b/internal/filter/limit.go
@@ -14,40 +14,39 @@
 )
 
 const (
-	// busyRetry is the base span to come back after, when too many requests
-	// are under way.
-	busyRetry = 200 * clock.Milli(1)
-	// keptShare is the part of max_in_flight, in per cent, that opens with the
-	// priority.
-	keptShare = 30
-	// rateWindow is the time over which a workspace's demand is counted.
+	// busyRetryAfter is the base of the retry-after delay if too many requests are in flight.
+	busyRetryAfter = 200 * clock.Milli(1)
+	// reservedPercent is the part of max_in_flight, in per cent, that becomes available in
+	// proportion to the priority.
+	reservedPercent = 30
+	// rateWindow is the period over which the demand of a workspace is counted.
 	rateWindow = clock.Second
-	// maxTables bounds the pairs of workspace and service that are remembered.
+	// maxTables bounds the number of tables, one for each pair of workspace and service.
 	maxTables = 16384
 )
 
-// limitFilter keeps the workspaces' limits and this instance's own.
+// limitFilter enforces the limits of the workspaces and of this instance.
 type limitFilter struct {
-	ctl  *contr.Control
-	clk  clock.Clock
-	most int
+	ctl         *contr.Control
+	clk         clock.Clock
+	maxInFlight int
 
 	mtx      sync.Mutex
 	inFlight int
 	tables   map[string]*table
 }
 
-// table is one workspace's state for one service at this instance.
+// table is the state of one workspace for one service at this instance.
 type table struct {
-	workspace string
-	wsp       *limit.Workspace
-	began     clock.Milli
-	count     float64
-	rate      float64
+	workspace   string
+	wsp         *limit.Workspace
+	windowStart clock.Milli
+	count       float64
+	rate        float64
 }
 
 func newLimit(set Setup) *limitFilter {
-	return &limitFilter{ctl: set.Control, clk: set.Clock, most: set.MaxInFlight, tables: map[string]*table{}}
+	return &limitFilter{ctl: set.Control, clk: set.Clock, maxInFlight: set.MaxInFlight, tables: map[string]*table{}}
 }
 
 func (lft *limitFilter) pass(ctx context.Context, cl *Call, next chain.Next[*Call]) outcm.Result {
@@ -63,30 +62,30 @@
 	lft.mtx.Lock()
 	defer lft.mtx.Unlock()
 	now := lft.clk.Now()
-	if lft.inFlight >= lft.room(cl.doc.Priority()) {
-		return nil, outcm.Refuse(outcm.QueueFull, retry.Jittered(busyRetry), "too many requests are under way at this instance")
+	if lft.inFlight >= lft.maxInFlightFor(cl.doc.Priority()) {
+		return nil, outcm.Refuse(outcm.QueueFull, retry.Jittered(busyRetryAfter), "too many requests are in flight at this instance")
 	}
 	tbl := lft.table(cl, now)
-	tbl.seen(now)
+	tbl.countRequest(now)
 	perSecond, burst := cl.wsp.Rate()
-	tbl.wsp.Set(lft.ctl.Part(cl.Workspace, perSecond, tbl.rate), burst, cl.wsp.InFlight(), now)
+	tbl.wsp.Set(lft.ctl.RateShare(cl.Workspace, perSecond, tbl.rate), burst, cl.wsp.InFlight(), now)
 	switch ver, wait := tbl.wsp.Enter(now); ver {
 	case limit.TooFast:
-		return nil, outcm.Refuse(outcm.WorkspaceRate, max(wait, retry.Jittered(busyRetry)), "the workspace's requests_per_second is used up")
+		return nil, outcm.Refuse(outcm.WorkspaceRate, max(wait, retry.Jittered(busyRetryAfter)), "the workspace has reached its requests_per_second")
 	case limit.TooMany:
-		return nil, outcm.Refuse(outcm.WorkspaceBusy, retry.Jittered(busyRetry), "the workspace's in_flight is used up at this instance")
+		return nil, outcm.Refuse(outcm.WorkspaceBusy, retry.Jittered(busyRetryAfter), "the workspace has reached its in_flight at this instance")
 	}
 	lft.inFlight++
 	lft.ctl.SetLoad(int64(lft.inFlight))
 	return tbl, outcm.Result{}
 }
 
-// room gives how many requests may be under way for one more of a priority to be
-// let in. The last part is kept for the higher ones: an instance that is full of
-// drafts would otherwise refuse bookings.
-func (lft *limitFilter) room(priority int) int {
-	kept := lft.most * keptShare / 100
-	return lft.most - kept + kept*priority/svcdoc.MaxPriority
+// maxInFlightFor returns the number of requests in flight below which one more of a priority is
+// admitted. The last part is reserved by priority: otherwise an instance fully occupied by
+// drafts would refuse bookings.
+func (lft *limitFilter) maxInFlightFor(priority int) int {
+	reserved := lft.maxInFlight * reservedPercent / 100
+	return lft.maxInFlight - reserved + reserved*priority/svcdoc.MaxPriority
 }
 
 func (lft *limitFilter) leave(tbl *table) {
@@ -105,35 +104,35 @@
 			clear(lft.tables)
 		}
 		perSecond, burst := cl.wsp.Rate()
-		tbl = &table{workspace: cl.Workspace, wsp: limit.NewWorkspace(perSecond, burst, cl.wsp.InFlight()), began: now}
+		tbl = &table{workspace: cl.Workspace, wsp: limit.NewWorkspace(perSecond, burst, cl.wsp.InFlight()), windowStart: now}
 		lft.tables[key] = tbl
 	}
 	return tbl
 }
 
-// seen counts the demand, refused requests included.
-func (tbl *table) seen(now clock.Milli) {
-	tbl.settle(now)
+// countRequest counts the demand, which includes refused requests.
+func (tbl *table) countRequest(now clock.Milli) {
+	tbl.rollWindow(now)
 	tbl.count++
 }
 
-func (tbl *table) settle(now clock.Milli) {
-	span := now - tbl.began
+func (tbl *table) rollWindow(now clock.Milli) {
+	span := now - tbl.windowStart
 	if span < rateWindow {
 		return
 	}
 	tbl.rate = tbl.count / span.Seconds()
-	tbl.began, tbl.count = now, 0
+	tbl.windowStart, tbl.count = now, 0
 }
 
-// rates gives the demand by workspace, for the other instances.
+// rates returns the demand by workspace, for the other instances.
 func (lft *limitFilter) rates() map[string]float64 {
 	lft.mtx.Lock()
 	defer lft.mtx.Unlock()
 	now := lft.clk.Now()
 	sums := map[string]float64{}
 	for _, tbl := range lft.tables {
-		tbl.settle(now)
+		tbl.rollWindow(now)
 		if tbl.rate > 0 {
 			sums[tbl.workspace] += tbl.rate
 		}
--- a/internal/filter/run.go
+++ b/internal/filter/run.go
@@ -7,25 +7,25 @@
 	"amaranthvalve/pkg/outcm"
 )
 
-// job makes the stages' view of the call.
+// job returns the job of the call for package stage.
 func (cl *Call) job(chn *Chain) *stage.Job {
 	job := &stage.Job{
 		RequestID: cl.requestID, Workspace: cl.wsp, Doc: cl.doc, Kind: cl.kind,
-		Input: cl.Submit.Input, Deadline: cl.deadline, MaxTokens: cl.Submit.MaxTokens, Place: cl.place,
-		Take: cl.Take,
+		Input: cl.Submit.Input, Deadline: cl.deadline, MaxTokens: cl.Submit.MaxTokens, Stream: cl.stream,
+		OnToken: cl.Take,
 	}
 	if cl.Submit.Resume != nil {
 		job.Have = cl.Submit.Resume.Have
 	}
 	if cl.Opened != nil {
-		job.Opened = func(plc stage.Place) {
-			cl.Opened(chn.keys.seal(token{RequestID: cl.requestID, Digest: cl.digest(), Place: plc}))
+		job.OnOpen = func(ref stage.StreamRef) {
+			cl.Opened(chn.sealer.seal(token{RequestID: cl.requestID, Digest: cl.digest(), Stream: ref}))
 		}
 	}
 	return job
 }
 
-// run takes the request through its stages.
+// run runs the request through its stages.
 func (chn *Chain) run(ctx context.Context, cl *Call) outcm.Result {
 	job := cl.job(chn)
 	out, res := chn.rnr.Run(ctx, job)
--- a/internal/filter/seal.go
+++ b/internal/filter/token.go
@@ -10,22 +10,23 @@
 	"amaranthvalve/internal/stage"
 )
 
-// token is what a caller needs to take a cut stream up at any instance. No
-// instance keeps it: whoever is asked may be new.
+// token is the content of a resume token, with which a caller can resume an interrupted stream
+// at any instance. It is not stored at an instance, because the stream may be resumed at one
+// that started later.
 type token struct {
-	RequestID string      `json:"request_id"`
-	Digest    string      `json:"digest"`
-	Place     stage.Place `json:"place"`
+	RequestID string          `json:"request_id"`
+	Digest    string          `json:"digest"`
+	Stream    stage.StreamRef `json:"place"`
 }
 
-// sealer seals tokens, so that a caller can neither read a stream of another
-// workspace, whose digest differs, nor send an instance to an address of its
-// own choice.
+// sealer signs resume tokens. A caller can therefore neither read a stream of another
+// workspace, whose digest differs, nor make an instance connect to an address that the caller
+// chooses.
 type sealer struct {
 	key []byte
 }
 
-var errSeal = errors.New("the seal does not fit")
+var errSignature = errors.New("resume token: malformed or wrong signature")
 
 func (slr sealer) seal(tkn token) string {
 	text, err := json.Marshal(tkn)
@@ -38,10 +39,10 @@
 func (slr sealer) open(text string) (token, error) {
 	raw, err := base64.RawURLEncoding.DecodeString(text)
 	if err != nil || len(raw) < sha256.Size {
-		return token{}, errSeal
+		return token{}, errSignature
 	}
 	if !hmac.Equal(raw[:sha256.Size], slr.mac(raw[sha256.Size:])) {
-		return token{}, errSeal
+		return token{}, errSignature
 	}
 	var tkn token
 	return tkn, json.Unmarshal(raw[sha256.Size:], &tkn)
--- a/internal/stage/generate.go
+++ b/internal/stage/generate.go
@@ -17,34 +17,34 @@
 )
 
 const (
-	// prefixBytes is the part of a prompt that engines are expected to cache.
+	// prefixBytes is the length of the part of a prompt that engines are expected to cache.
 	prefixBytes = 128
-	// stallFor is how long a stream may stand still before it is taken up
-	// elsewhere. A frozen engine keeps its connection open and sends nothing.
-	stallFor = time.Second
-	// cancelWait bounds the call that frees an engine of an abandoned stream.
-	cancelWait = time.Second
+	// stallTimeout is the lower bound of the time without a token after which a stream counts
+	// as cut. A frozen engine keeps its connection open and sends nothing.
+	stallTimeout = time.Second
+	// cancelTimeout bounds the call that cancels an abandoned stream at its engine.
+	cancelTimeout = time.Second
 )
 
-// generate runs a generating stage, going on at the next index after each cut.
-func (try *attempt) generate(ctx context.Context) (string, wire.StageTime, outcm.Result) {
-	if try.last {
-		try.text = append(try.text, try.job.Have...)
+// generate runs a generating stage and continues at the next index after each cut.
+func (att *attempt) generate(ctx context.Context) (string, wire.StageTime, outcm.Result) {
+	if att.last {
+		att.text = append(att.text, att.job.Have...)
 	}
-	if st, ok := try.takeUp(ctx); ok {
-		return strings.Join(try.text, ""), st, outcm.Result{}
+	if st, ok := att.resume(ctx); ok {
+		return strings.Join(att.text, ""), st, outcm.Result{}
 	}
 	for {
-		ep, res := try.acquire(ctx, prefixOf(try.taken[0]))
+		ep, res := att.acquire(ctx, prefixOf(att.inputs[0]))
 		if res.Outcome() != outcm.Pending {
-			return "", try.time(ep, 0), res
+			return "", att.stageTime(ep, 0), res
 		}
-		last, end, took := try.stream(ctx, ep)
+		last, end, took := att.stream(ctx, ep)
 		if end == ending.Answered {
-			return strings.Join(try.text, ""), try.time(ep, last.EngineMs), outcm.Result{}
+			return strings.Join(att.text, ""), att.stageTime(ep, last.EngineMs), outcm.Result{}
 		}
-		if res, again := try.again(ctx, ep, end, took); !again {
-			return "", try.time(ep, 0), res
+		if res, again := att.decideRetry(ctx, ep, end, took); !again {
+			return "", att.stageTime(ep, 0), res
 		}
 	}
 }
@@ -53,89 +53,89 @@
 	return xxhash.Sum64String(prompt[:min(len(prompt), prefixBytes)])
 }
 
-// takeUp goes on with the stream that the caller's token names, if its engine
-// still has it. Anything amiss means a new generation from the same index.
-func (try *attempt) takeUp(ctx context.Context) (wire.StageTime, bool) {
-	plc := try.job.Place
-	if !try.last || plc.Attempt == "" || plc.Pool != try.stg.Pool() {
+// resume continues the stream that the caller's resume token names, if its engine still has it.
+// If that fails for any reason, a new generation starts from the same index.
+func (att *attempt) resume(ctx context.Context) (wire.StageTime, bool) {
+	ref := att.job.Stream
+	if !att.last || ref.Attempt == "" || ref.Pool != att.stg.Pool() {
 		return wire.StageTime{}, false
 	}
-	try.job.ran.Add(1)
-	last, end := try.read(ctx, func(ctx context.Context, take func(wire.Token) error) (wire.End, engin.Report, ending.Ending) {
-		_, last, rep, end := try.rnr.cli.Resume(ctx, plc.Addr, plc.Attempt, len(try.text), take)
+	att.job.ran.Add(1)
+	last, end := att.read(ctx, func(ctx context.Context, take func(wire.Token) error) (wire.End, engin.Report, ending.Ending) {
+		_, last, rep, end := att.rnr.cli.Resume(ctx, ref.Addr, ref.Attempt, len(att.text), take)
 		return last, rep, end
 	})
 	if end != ending.Answered {
 		return wire.StageTime{}, false
 	}
-	try.rnr.mtr.CountRetry(retry.Resumed)
-	try.job.count = len(try.text)
-	return wire.StageTime{Endpoint: plc.ID, EngineMs: last.EngineMs, Attempts: 1}, true
+	att.rnr.mtr.CountRetry(retry.Resumed)
+	att.job.count = len(att.text)
+	return wire.StageTime{Endpoint: ref.ID, EngineMs: last.EngineMs, Attempts: 1}, true
 }
 
-// stream generates at one engine; when the connection is cut it is taken up
-// once at the same engine before anything is generated anew.
-func (try *attempt) stream(ctx context.Context, ep route.Endpoint) (wire.End, ending.Ending, clock.Milli) {
-	try.tries++
-	run := try.run()
-	run.MaxTokens, run.From, run.Have = try.job.MaxTokens, len(try.text), try.text
-	plc := Place{Pool: try.stg.Pool(), ID: ep.ID, Addr: ep.Addr, Attempt: run.Attempt}
-	began := try.rnr.clk.Now()
-	try.firstAt = 0
-	try.sending()
-	if try.last && try.job.Opened != nil {
-		try.job.Opened(plc)
+// stream generates at one engine. If the connection is cut, the stream is resumed once at the
+// same engine before a new generation starts.
+func (att *attempt) stream(ctx context.Context, ep route.Endpoint) (wire.End, ending.Ending, clock.Milli) {
+	att.tries++
+	run := att.run()
+	run.MaxTokens, run.From, run.Have = att.job.MaxTokens, len(att.text), att.text
+	ref := StreamRef{Pool: att.stg.Pool(), ID: ep.ID, Addr: ep.Addr, Attempt: run.Attempt}
+	began := att.rnr.clk.Now()
+	att.firstTokenAt = 0
+	att.markSent()
+	if att.last && att.job.OnOpen != nil {
+		att.job.OnOpen(ref)
 	}
 	var rep engin.Report
-	last, end := try.read(ctx, func(ctx context.Context, take func(wire.Token) error) (wire.End, engin.Report, ending.Ending) {
-		_, last, got, end := try.rnr.cli.Generate(ctx, ep.Addr, run, take)
-		rep = got
-		return last, got, end
+	last, end := att.read(ctx, func(ctx context.Context, take func(wire.Token) error) (wire.End, engin.Report, ending.Ending) {
+		_, last, report, end := att.rnr.cli.Generate(ctx, ep.Addr, run, take)
+		rep = report
+		return last, report, end
 	})
 	if end == ending.Cut && ctx.Err() == nil {
-		try.rnr.mtr.CountRetry(retry.Resumed)
-		last, end = try.read(ctx, func(ctx context.Context, take func(wire.Token) error) (wire.End, engin.Report, ending.Ending) {
-			_, last, got, end := try.rnr.cli.Resume(ctx, ep.Addr, plc.Attempt, len(try.text), take)
+		att.rnr.mtr.CountRetry(retry.Resumed)
+		last, end = att.read(ctx, func(ctx context.Context, take func(wire.Token) error) (wire.End, engin.Report, ending.Ending) {
+			_, last, report, end := att.rnr.cli.Resume(ctx, ep.Addr, ref.Attempt, len(att.text), take)
 			if end == ending.Errored || end.RanNothing() {
-				// What ran before the cut has run, whatever the resumption says.
+				// The part before the cut ran, whatever the ending of the resumption.
 				end = ending.Cut
 			}
-			return last, got, end
+			return last, report, end
 		})
 	}
-	try.sent(end)
-	took := try.rnr.clk.Since(began)
-	tokens := len(try.text) - run.From
-	try.outlasted = ctx.Err() == context.DeadlineExceeded
-	try.learn(ep, rep, end, took, max(tokens, 1))
+	att.undoMarkSent(end)
+	took := att.rnr.clk.Since(began)
+	tokens := len(att.text) - run.From
+	att.timedOut = ctx.Err() == context.DeadlineExceeded
+	att.complete(ep, rep, end, took, max(tokens, 1))
 	if end == ending.Answered {
-		try.job.count = len(try.text)
+		att.job.count = len(att.text)
 	}
 	if end == ending.Answered && tokens > 0 {
-		try.rnr.sampleStream(try.job.Doc.Name(), try.stg.Name(), try.firstAt-began, took, tokens)
+		att.rnr.sampleStream(att.job.Doc.Name(), att.stg.Name(), att.firstTokenAt-began, took, tokens)
 	}
 	if end != ending.Answered {
-		go try.rnr.cancel(plc)
+		go att.rnr.cancel(ref)
 	}
 	return last, end, took
 }
 
-type reading func(context.Context, func(wire.Token) error) (wire.End, engin.Report, ending.Ending)
+type streamFunc func(context.Context, func(wire.Token) error) (wire.End, engin.Report, ending.Ending)
 
-// read reads a stream until it ends or stands still. A stall is told as a cut.
-func (try *attempt) read(ctx context.Context, from reading) (wire.End, ending.Ending) {
+// read reads a stream until it ends or stalls. A stall is returned as a cut.
+func (att *attempt) read(ctx context.Context, from streamFunc) (wire.End, ending.Ending) {
 	inner, cancel := context.WithCancel(ctx)
 	defer cancel()
-	wait := max(stallFor, (patience * try.rnr.careful(try.job.Doc, try.index, 1)).Duration())
+	wait := max(stallTimeout, (timeoutFactor * att.rnr.upperTime(att.job.Doc, att.index, 1)).Duration())
 	stall := time.AfterFunc(wait, cancel)
 	last, _, end := from(inner, func(tok wire.Token) error {
 		stall.Reset(wait)
-		if try.firstAt == 0 {
-			try.firstAt = try.rnr.clk.Now()
+		if att.firstTokenAt == 0 {
+			att.firstTokenAt = att.rnr.clk.Now()
 		}
-		try.text = append(try.text, tok.Text)
-		if try.last && try.job.Take != nil {
-			return try.job.Take(tok)
+		att.text = append(att.text, tok.Text)
+		if att.last && att.job.OnToken != nil {
+			return att.job.OnToken(tok)
 		}
 		return nil
 	})
@@ -146,9 +146,9 @@
 	return last, end
 }
 
-// cancel frees an engine of a stream that nobody waits for.
-func (rnr *Runner) cancel(plc Place) {
-	ctx, stop := context.WithTimeout(context.Background(), cancelWait)
+// cancel cancels an abandoned stream at its engine.
+func (rnr *Runner) cancel(ref StreamRef) {
+	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 	defer stop()
-	rnr.cli.Cancel(ctx, plc.Addr, plc.Attempt)
+	rnr.cli.Cancel(ctx, ref.Addr, ref.Attempt)
 }
--- a/internal/stage/graph_test.go
+++ b/internal/stage/graph_test.go
@@ -16,7 +16,7 @@
 	"amaranthvalve/pkg/svcdoc"
 )
 
-const twoBesideOneAnother = `
+const parallelStages = `
 name = "conflicts"
 [[stage]]
 kind = "encode"
@@ -34,104 +34,104 @@
 name = "w"
 `
 
-// sides is a document whose first two stages run beside one another, with its pools.
-type sides struct {
+// fixture is a runner with a document whose first two stages run in parallel, and their pools.
+type fixture struct {
 	clk  clock.Clock
 	rnr  *Runner
 	doc  *svcdoc.Document
 	pool map[string]*stand.Endpoint
 }
 
-func serveSides(t *testing.T, kind string, encodeMs, sideMs int64) *sides {
-	return serveSidesBy(t, clock.Clock{}, kind, encodeMs, sideMs)
+func newFixture(t *testing.T, kind string, encodeMs, sideMs int64) *fixture {
+	return newFixtureWithClock(t, clock.Clock{}, kind, encodeMs, sideMs)
 }
 
-// serveSidesBy is serveSides with another clock.
-func serveSidesBy(t *testing.T, clk clock.Clock, kind string, encodeMs, sideMs int64) *sides {
+// newFixtureWithClock is newFixture with another clock.
+func newFixtureWithClock(t *testing.T, clk clock.Clock, kind string, encodeMs, sideMs int64) *fixture {
 	gom := gomega.NewWithT(t)
-	doc, fts := svcdoc.Parse([]byte(strings.ReplaceAll(twoBesideOneAnother, "KIND", kind)))
+	doc, fts := svcdoc.Parse([]byte(strings.ReplaceAll(parallelStages, "KIND", kind)))
 	gom.Expect(doc).NotTo(gomega.BeNil(), "%v", fts)
-	sds := &sides{clk: clk, doc: doc, rnr: New(clk, "dc1", meter.New(), func(_, _ string) {}), pool: map[string]*stand.Endpoint{
+	fix := &fixture{clk: clk, doc: doc, rnr: New(clk, "dc1", meter.New(), func(_, _ string) {}), pool: map[string]*stand.Endpoint{
 		"encoders": stand.NewEndpoint("e1", encodeMs, 4), "side": stand.NewEndpoint("s1", sideMs, 4), "rerankers": stand.NewEndpoint("r1", 1, 4),
 	}}
 	eps := map[string][]route.Endpoint{}
-	for pool, ept := range sds.pool {
+	for pool, ept := range fix.pool {
 		srv, err := stand.Serve("127.0.0.1:0", ept.Handler())
 		gom.Expect(err).NotTo(gomega.HaveOccurred())
 		t.Cleanup(srv.Close)
 		eps[pool] = []route.Endpoint{{ID: ept.ID(), Addr: srv.Addr(), Zone: "dc1"}}
 	}
-	sds.rnr.Sync(eps)
-	return sds
+	fix.rnr.Sync(eps)
+	return fix
 }
 
-func (sds *sides) run() (string, *Job, outcm.Result) { return sds.runFor(3 * clock.Second) }
+func (fix *fixture) run() (string, *Job, outcm.Result) { return fix.runWithin(3 * clock.Second) }
 
-func (sds *sides) runFor(span clock.Milli) (string, *Job, outcm.Result) {
-	kind, _ := sds.doc.Request("")
-	wsp, _ := sds.doc.Workspace("w")
-	job := &Job{RequestID: "k", Workspace: wsp, Doc: sds.doc, Kind: kind, Input: "x", Deadline: sds.clk.Now() + span}
-	out, res := sds.rnr.Run(context.Background(), job)
+func (fix *fixture) runWithin(span clock.Milli) (string, *Job, outcm.Result) {
+	kind, _ := fix.doc.Request("")
+	wsp, _ := fix.doc.Workspace("w")
+	job := &Job{RequestID: "k", Workspace: wsp, Doc: fix.doc, Kind: kind, Input: "x", Deadline: fix.clk.Now() + span}
+	out, res := fix.rnr.Run(context.Background(), job)
 	return out, job, res
 }
 
-// TestStagesBesideOneAnother: two stages that take what the caller sent run at the same
-// time, and the third gets both results in the order of the document, whichever was first.
-func TestStagesBesideOneAnother(t *testing.T) {
+// Guards against stages that wait for each other without need and against swapped inputs: two
+// stages without dependencies run at the same time, and the third receives both results in the
+// order of the document, whichever came first.
+func TestParallelStages(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	sds := serveSides(t, "retrieve", 200, 150)
-	out, job, res := sds.run()
+	fix := newFixture(t, "retrieve", 200, 150)
+	out, job, res := fix.run()
 	gom.Expect(res.Outcome()).To(gomega.Equal(outcm.Done), res.Detail())
 	gom.Expect(out).To(gomega.Equal("rerank(encode(x) side(x))"))
 	times := job.Times()
 	gom.Expect(times).To(gomega.HaveLen(3))
 	gom.Expect(times[0].Name + times[1].Name + times[2].Name).To(gomega.Equal("encodesidererank"))
-	began := sds.pool["rerankers"].Executions()
+	began := fix.pool["rerankers"].Executions()
 	gom.Expect(began).To(gomega.HaveLen(1))
 }
 
-// TestEffectBesideAFailure: a booking runs beside an encoder that refuses everything a moment
-// later. The caller is told that its end isn't known: the booking ran, whatever the encoder
-// says, and "not run" would have it booked again.
-func TestEffectBesideAFailure(t *testing.T) {
+// Guards against a second booking after a failure of a parallel stage. A booking runs while an
+// encoder refuses everything a moment later. The booking ran, so that the outcome is unknown:
+// after not_run the caller would book again.
+func TestEffectBesideFailedStage(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	sds := serveSides(t, "call", 1, 500)
-	sds.pool["encoders"].SetFaults(stand.Faults{Refuse: 100, SlowMs: 100})
-	_, _, res := sds.run()
+	fix := newFixture(t, "call", 1, 500)
+	fix.pool["encoders"].SetFaults(stand.Faults{Refuse: 100, SlowMs: 100})
+	_, _, res := fix.run()
 	gom.Expect(res.Outcome()).To(gomega.Equal(outcm.Unknown), res.Detail())
-	gom.Expect(sds.pool["rerankers"].Executions()).To(gomega.BeEmpty())
+	gom.Expect(fix.pool["rerankers"].Executions()).To(gomega.BeEmpty())
 }
 
-// TestRefusedBesideASlowOne: the endpoint of a booking gives its word that nothing ran,
-// while an encoder beside it is still at work. The caller is told that it failed without
-// an effect and may send its key again: that the booking was noted as sent while the
-// encoder ran must not make it "may have run".
-func TestRefusedBesideASlowOne(t *testing.T) {
+// Guards against an unknown outcome when the endpoint of a booking confirms that nothing ran
+// while an encoder is still running in parallel. The request failed without an effect and the
+// caller may send its key again, although the booking was marked as sent in the meantime.
+func TestRefusedBesideSlowStage(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	sds := serveSides(t, "call", 500, 1)
-	sds.pool["side"].SetFaults(stand.Faults{Refuse: 100})
-	_, job, res := sds.run()
+	fix := newFixture(t, "call", 500, 1)
+	fix.pool["side"].SetFaults(stand.Faults{Refuse: 100})
+	_, job, res := fix.run()
 	gom.Expect(res.Outcome()).To(gomega.Equal(outcm.Failed), res.Detail())
 	gom.Expect(job.HasEffect()).To(gomega.BeFalse())
-	gom.Expect(sds.pool["side"].Executions()).To(gomega.BeEmpty())
+	gom.Expect(fix.pool["side"].Executions()).To(gomega.BeEmpty())
 }
 
 // Guards against deadlines that pass at once, or much too late, because the machine's wall clock
 // was set after the instance's start, as at the end of a suspension that the machine
 // doesn't count.
-func TestWallClockWasSet(t *testing.T) {
+func TestWallClockStep(t *testing.T) {
 	for name, ahead := range map[string]clock.Milli{"forward": clock.Hour, "back": -clock.Hour} {
 		t.Run(name, func(t *testing.T) {
 			gom := gomega.NewWithT(t)
 			clk := clock.New(func() clock.Milli { return clock.Clock{}.Now() - ahead })
-			sds := serveSidesBy(t, clk, "retrieve", 1, 1)
-			out, _, res := sds.run()
+			fix := newFixtureWithClock(t, clk, "retrieve", 1, 1)
+			out, _, res := fix.run()
 			gom.Expect(res.Outcome()).To(gomega.Equal(outcm.Done), res.Detail())
 			gom.Expect(out).To(gomega.Equal("rerank(encode(x) side(x))"))
 
-			sds.pool["rerankers"].SetFaults(stand.Faults{SlowMs: 5000})
+			fix.pool["rerankers"].SetFaults(stand.Faults{SlowMs: 5000})
 			began := time.Now()
-			_, _, res = sds.runFor(300)
+			_, _, res = fix.runWithin(300)
 			gom.Expect(res.Outcome()).NotTo(gomega.Equal(outcm.Done))
 			gom.Expect(time.Since(began)).To(gomega.BeNumerically("<", 2*time.Second))
 		})
--- a/internal/stage/later_test.go
+++ b/internal/stage/partial_test.go
@@ -29,10 +29,9 @@
 name = "w"
 `
 
-// TestLaterStageDoesNotRepeatTheCall: a booking ran, and the idempotent stage
-// after it fails a few times. Only that stage is tried again; when it fails for
-// good the caller is told "unknown", for the booking did run.
-func TestLaterStageDoesNotRepeatTheCall(t *testing.T) {
+// Guards against a repeated booking when the idempotent stage after it fails. Only the failed
+// stage is retried. If it fails permanently, the outcome is unknown, because the booking ran.
+func TestRetryDoesNotRepeatEarlierCall(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	doc, fts := svcdoc.Parse([]byte(callThenRerank))
 	gom.Expect(doc).NotTo(gomega.BeNil(), "%v", fts)
--- a/internal/stage/pool.go
+++ b/internal/stage/pool.go
@@ -12,11 +12,11 @@
 	"amaranthvalve/pkg/route"
 )
 
-// comeBack is the base span after which a refused caller may come back.
-const comeBack = 500 * clock.Milli(1)
+// retryAfterBase is the base of the retry-after delay of a refused caller.
+const retryAfterBase = 500 * clock.Milli(1)
 
-// pool is the gate of one pool of endpoints behind a lock. The lock is held for
-// decisions only, never across a call.
+// pool is the admission gate of one pool of endpoints, protected by a mutex. The mutex is held
+// for decisions only, never during a call.
 type pool struct {
 	mtx  sync.Mutex
 	gate *admit.Gate
@@ -24,8 +24,8 @@
 }
 
 type grant struct {
-	ep   route.Endpoint
-	word admit.Outcome
+	ep  route.Endpoint
+	out admit.Outcome
 }
 
 func newPool(zone string) *pool {
@@ -33,22 +33,22 @@
 	return &pool{gate: admit.NewGate(route.New(zone, rng)), rng: rng}
 }
 
-// acquire takes a place at an endpoint, waiting in line if it must. The result
-// is pending when a place was taken.
+// acquire takes a slot at an endpoint, after waiting in the queue if necessary. The outcome of
+// the result is pending if a slot was taken.
 func (pl *pool) acquire(ctx context.Context, ask route.Ask, adm admit.Ask, clk clock.Clock) (route.Endpoint, outcm.Result) {
 	granted := make(chan grant, 1)
 	pl.mtx.Lock()
-	ep, tkt, ans := pl.gate.Enter(ask, adm, clk.Now(), func(ep route.Endpoint, word admit.Outcome) { granted <- grant{ep: ep, word: word} })
+	ep, tkt, ans := pl.gate.Enter(ask, adm, clk.Now(), func(ep route.Endpoint, out admit.Outcome) { granted <- grant{ep: ep, out: out} })
 	pl.mtx.Unlock()
 	switch ans {
 	case admit.Granted:
 		return ep, outcm.Result{}
 	case admit.RefusedEmpty:
-		return route.Endpoint{}, pl.refuse(outcm.NoEndpoint, "the pool has no endpoint that takes work")
+		return route.Endpoint{}, pl.refuse(outcm.NoEndpoint, "the pool has no usable endpoint")
 	case admit.RefusedFull:
-		return route.Endpoint{}, pl.refuse(outcm.QueueFull, "the pool's queue is full")
+		return route.Endpoint{}, pl.refuse(outcm.QueueFull, "the queue of the pool is full")
 	case admit.RefusedLate:
-		return route.Endpoint{}, pl.refuse(outcm.DeadlineTooShort, "the wait ahead exceeds the deadline")
+		return route.Endpoint{}, pl.refuse(outcm.DeadlineTooShort, "the expected wait exceeds the deadline")
 	}
 	return pl.wait(ctx, tkt, granted)
 }
@@ -56,11 +56,11 @@
 func (pl *pool) wait(ctx context.Context, tkt *admit.Ticket, granted chan grant) (route.Endpoint, outcm.Result) {
 	select {
 	case grt := <-granted:
-		switch grt.word {
+		switch grt.out {
 		case admit.Late:
-			return route.Endpoint{}, pl.refuse(outcm.DeadlineTooShort, "no place was free in time")
+			return route.Endpoint{}, pl.refuse(outcm.DeadlineTooShort, "no slot became free in time")
 		case admit.Displaced:
-			return route.Endpoint{}, pl.refuse(outcm.QueueFull, "the pool's queue is full, and the place went to a higher priority")
+			return route.Endpoint{}, pl.refuse(outcm.QueueFull, "the queue of the pool is full; displaced by a request of higher priority")
 		}
 		return grt.ep, outcm.Result{}
 	case <-ctx.Done():
@@ -70,50 +70,51 @@
 	pl.mtx.Unlock()
 	select {
 	case grt := <-granted:
-		// The turn came in the same moment: hand the place back.
-		if grt.word == admit.Served {
+		// The slot was granted at the same moment: release it.
+		if grt.out == admit.Served {
 			pl.finish(grt.ep.ID, route.Cancelled, 0, 0)
 		}
 	default:
 	}
-	return route.Endpoint{}, gone(ctx)
+	return route.Endpoint{}, resultOfContext(ctx)
 }
 
-// gone tells why a request's context ended before anything was sent.
-func gone(ctx context.Context) outcm.Result {
+// resultOfContext returns the result of a request whose context ended before anything was sent.
+func resultOfContext(ctx context.Context) outcm.Result {
 	if ctx.Err() == context.DeadlineExceeded {
-		return outcm.New(outcm.NotRun, outcm.DeadlinePassed, "the deadline passed while waiting")
+		return outcm.New(outcm.NotRun, outcm.DeadlinePassed, "the deadline passed while the request was queued")
 	}
-	return outcm.New(outcm.NotRun, outcm.CallerGone, "the caller went away")
+	return outcm.New(outcm.NotRun, outcm.CallerGone, "the caller disconnected")
 }
 
 func (pl *pool) refuse(rs outcm.Reason, detail string) outcm.Result {
 	pl.mtx.Lock()
 	defer pl.mtx.Unlock()
-	return outcm.Refuse(rs, retry.Backoff(comeBack, 1, pl.rng), detail)
+	return outcm.Refuse(rs, retry.Backoff(retryAfterBase, 1, pl.rng), detail)
 }
 
-// finish gives a place back and serves those who wait.
-func (pl *pool) finish(id string, ver route.Outcome, took, now clock.Milli) {
+// finish releases a slot and serves the queue.
+func (pl *pool) finish(id string, out route.Outcome, took, now clock.Milli) {
 	pl.mtx.Lock()
 	defer pl.mtx.Unlock()
-	pl.gate.Finish(id, ver, took, now)
+	pl.gate.Finish(id, out, took, now)
 }
 
-// tick gives up late requests and lets benched endpoints be probed.
+// tick removes requests that can no longer be served in time and lets ejected endpoints be
+// probed.
 func (pl *pool) tick(now clock.Milli) {
 	pl.mtx.Lock()
 	defer pl.mtx.Unlock()
 	pl.gate.Tick(now)
 }
 
-func (pl *pool) mayRetry(bnd retry.Bounds) bool {
+func (pl *pool) takeRetry(bnd retry.Bounds) bool {
 	pl.mtx.Lock()
 	defer pl.mtx.Unlock()
 	return pl.gate.TakeRetry(bnd)
 }
 
-func (pl *pool) first() {
+func (pl *pool) recordFirst() {
 	pl.mtx.Lock()
 	defer pl.mtx.Unlock()
 	pl.gate.RecordAttempt()
--- a/internal/stage/runner.go
+++ b/internal/stage/runner.go
@@ -15,46 +15,45 @@
 	"amaranthvalve/pkg/svcdoc"
 )
 
-// tickEvery is how often waiting requests are looked at when nothing else
-// happens to their pool.
-const tickEvery = 50 * time.Millisecond
+// tickInterval is the interval at which the queue of a pool is checked if no other event
+// occurs.
+const tickInterval = 50 * time.Millisecond
 
-// Runner takes requests through their stages. Its methods may be called by any
-// goroutine.
+// Runner runs requests through their stages. Its methods are safe for concurrent use.
 type Runner struct {
 	clk  clock.Clock
 	zone string
 	cli  *engin.Client
 	mtr  *meter.Meter
-	// left is told when an endpoint's own word says that it is leaving.
-	left func(pool, id string)
+	// onLeaving is called when an endpoint reports that it is leaving.
+	onLeaving func(pool, id string)
 
-	mtx   sync.Mutex
-	pools map[string]*pool
-	needs map[string]*need
+	mtx     sync.Mutex
+	pools   map[string]*pool
+	timings map[string]*timing
 }
 
-// need is the measured time of a stage. A generating one is measured as the time
-// to its first token and the microseconds from one token to the next: a mean a
-// token would take the first one's cost, the prompt's, for every token, and
-// refuse long answers after a few short ones.
-type need struct {
-	whole admit.Estimator
-	gap   admit.Estimator
+// timing is the measured time of a stage. A generating stage is measured by the time to its
+// first token and the microseconds between tokens. A mean time per token would count the cost
+// of the prompt, which falls on the first token, for every token, and after a few short answers
+// long ones would be refused.
+type timing struct {
+	base     admit.Estimator
+	tokenGap admit.Estimator
 }
 
-// New returns a runner without endpoints. left is called when an endpoint says
-// that it is leaving; it must not block.
-func New(clk clock.Clock, zone string, mtr *meter.Meter, left func(pool, id string)) *Runner {
+// New returns a runner without endpoints. onLeaving is called when an endpoint reports that it is
+// leaving; it must not block.
+func New(clk clock.Clock, zone string, mtr *meter.Meter, onLeaving func(pool, id string)) *Runner {
 	return &Runner{
-		clk: clk, zone: zone, cli: engin.New(), mtr: mtr, left: left,
-		pools: map[string]*pool{}, needs: map[string]*need{},
+		clk: clk, zone: zone, cli: engin.New(), mtr: mtr, onLeaving: onLeaving,
+		pools: map[string]*pool{}, timings: map[string]*timing{},
 	}
 }
 
-// Tick looks after waiting requests until the context ends.
+// Tick checks the queues of all pools periodically until the context ends.
 func (rnr *Runner) Tick(ctx context.Context) {
-	tkr := time.NewTicker(tickEvery)
+	tkr := time.NewTicker(tickInterval)
 	defer tkr.Stop()
 	for {
 		select {
@@ -96,7 +95,7 @@
 	return pl
 }
 
-// Sync makes the pools hold just these endpoints.
+// Sync replaces the endpoints of all pools.
 func (rnr *Runner) Sync(eps map[string][]route.Endpoint) {
 	for name := range eps {
 		rnr.pool(name)
@@ -109,7 +108,7 @@
 	}
 }
 
-// Report notes an endpoint's load.
+// Report records the load that an endpoint reported.
 func (rnr *Runner) Report(name, id string, rep wire.Load) {
 	pl := rnr.pool(name)
 	pl.mtx.Lock()
@@ -123,7 +122,7 @@
 	}
 }
 
-// Leave notes that an endpoint is leaving, as another instance heard.
+// Leave records that an endpoint is leaving, as reported by another instance.
 func (rnr *Runner) Leave(name, id string) {
 	pl := rnr.pool(name)
 	pl.mtx.Lock()
@@ -131,7 +130,7 @@
 	pl.gate.Pool().Leave(id)
 }
 
-// Standings lists all endpoints by pool, for a person.
+// Standings lists all endpoints by pool, for operators.
 func (rnr *Runner) Standings() map[string][]route.Standing {
 	all := map[string][]route.Standing{}
 	for name, pl := range rnr.allPools() {
@@ -142,62 +141,61 @@
 	return all
 }
 
-func (rnr *Runner) need(service, stage string) *need {
+func (rnr *Runner) timing(service, stage string) *timing {
 	key := service + "/" + stage
-	ned, ok := rnr.needs[key]
+	tmg, ok := rnr.timings[key]
 	if !ok {
-		ned = &need{}
-		rnr.needs[key] = ned
+		tmg = &timing{}
+		rnr.timings[key] = tmg
 	}
-	return ned
+	return tmg
 }
 
-// estimate gives what a stage takes.
-type estimate func(doc *svcdoc.Document, i, tokens int) clock.Milli
+// timeFunc estimates the time of stage i for a number of tokens.
+type timeFunc func(doc *svcdoc.Document, i, tokens int) clock.Milli
 
-// typical and careful give a stage's expected and cautious time.
-func (rnr *Runner) typical(doc *svcdoc.Document, i, tokens int) clock.Milli {
-	return rnr.guess(doc, i, tokens, (*admit.Estimator).Mean)
+// meanTime and upperTime return the mean and a conservative estimate of the time of a stage.
+func (rnr *Runner) meanTime(doc *svcdoc.Document, i, tokens int) clock.Milli {
+	return rnr.estimate(doc, i, tokens, (*admit.Estimator).Mean)
 }
 
-func (rnr *Runner) careful(doc *svcdoc.Document, i, tokens int) clock.Milli {
-	return rnr.guess(doc, i, tokens, (*admit.Estimator).Upper)
+func (rnr *Runner) upperTime(doc *svcdoc.Document, i, tokens int) clock.Milli {
+	return rnr.estimate(doc, i, tokens, (*admit.Estimator).Upper)
 }
 
-func (rnr *Runner) guess(doc *svcdoc.Document, i, tokens int, how func(ned *admit.Estimator, guess, now clock.Milli) clock.Milli) clock.Milli {
+func (rnr *Runner) estimate(doc *svcdoc.Document, i, tokens int, stat func(est *admit.Estimator, initial, now clock.Milli) clock.Milli) clock.Milli {
 	stg := doc.Stage(i)
 	rnr.mtx.Lock()
 	defer rnr.mtx.Unlock()
-	ned := rnr.need(doc.Name(), stg.Name())
+	tmg := rnr.timing(doc.Name(), stg.Name())
 	now := rnr.clk.Now()
-	sum := how(&ned.whole, stg.Estimate(), now)
+	sum := stat(&tmg.base, stg.Estimate(), now)
 	if stg.Kind() == svcdoc.Generate {
-		sum += how(&ned.gap, 0, now) * clock.Milli(max(tokens-1, 0)) / 1000
+		sum += stat(&tmg.tokenGap, 0, now) * clock.Milli(max(tokens-1, 0)) / 1000
 	}
 	return sum
 }
 
-// sample notes the time of a stage that answered in one piece.
+// sample records the time of a stage that returned one complete answer.
 func (rnr *Runner) sample(service, stage string, took clock.Milli) {
 	rnr.mtx.Lock()
 	defer rnr.mtx.Unlock()
-	rnr.need(service, stage).whole.Sample(took, rnr.clk.Now())
+	rnr.timing(service, stage).base.Sample(took, rnr.clk.Now())
 }
 
-// sampleStream notes the time to the first token and the time of all.
+// sampleStream records the time to the first token and the total time of a generation.
 func (rnr *Runner) sampleStream(service, stage string, first, took clock.Milli, tokens int) {
 	rnr.mtx.Lock()
 	defer rnr.mtx.Unlock()
-	rnr.need(service, stage).whole.Sample(first, rnr.clk.Now())
+	rnr.timing(service, stage).base.Sample(first, rnr.clk.Now())
 	if tokens > 1 {
-		rnr.need(service, stage).gap.Sample((took-first)*1000/clock.Milli(tokens-1), rnr.clk.Now())
+		rnr.timing(service, stage).tokenGap.Sample((took-first)*1000/clock.Milli(tokens-1), rnr.clk.Now())
 	}
 }
 
-// Admit tells on arrival whether a request can be answered in time: the waits
-// before its pools and the measured needs of its stages against its deadline.
-// A refusal costs the endpoints nothing; the same request refused later would
-// have used some of their time for nothing.
+// Admit decides on arrival whether a request can be answered in time: it compares the queueing
+// times of its pools and the estimated times of its stages with its deadline. A refusal at this
+// point costs the endpoints nothing; a later one would have used part of their time without an answer.
 func (rnr *Runner) Admit(job *Job) outcm.Result {
 	worst := clock.Milli(0)
 	waits := make([]clock.Milli, job.Doc.Stages())
@@ -205,17 +203,17 @@
 		pl := rnr.pool(job.Doc.Stage(i).Pool())
 		pl.mtx.Lock()
 		usable := pl.gate.Pool().Usable()
-		wait := pl.gate.Queue().EstimateWait(job.ask(0))
+		wait := pl.gate.Queue().EstimateWait(job.admission(0))
 		pl.mtx.Unlock()
 		if usable == 0 {
-			return pl.refuse(outcm.NoEndpoint, "pool "+job.Doc.Stage(i).Pool()+" has no endpoint that takes work")
+			return pl.refuse(outcm.NoEndpoint, "pool "+job.Doc.Stage(i).Pool()+" has no usable endpoint")
 		}
 		worst, waits[i] = max(worst, wait), wait
 	}
-	sum := job.Doc.Graph().Longest(func(stg int) clock.Milli { return waits[stg] + job.needs(rnr.careful)(stg) })
+	sum := job.Doc.Graph().Longest(func(stg int) clock.Milli { return waits[stg] + job.stageTimes(rnr.upperTime)(stg) })
 	left := job.Deadline - rnr.clk.Now()
 	if (admit.Budget{Estimate: sum, ToDeadline: left, ToTarget: left}).Judge() != admit.LetIn {
-		res := rnr.pool(job.Doc.Stage(0).Pool()).refuse(outcm.DeadlineTooShort, "waits and stages are expected to take longer than the deadline")
+		res := rnr.pool(job.Doc.Stage(0).Pool()).refuse(outcm.DeadlineTooShort, "the expected time of queues and stages exceeds the deadline")
 		return outcm.Refuse(res.Reason(), max(res.RetryAfter(), worst), res.Detail())
 	}
 	return outcm.Result{}
