--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node is an instance that serves routes in a dialect: its parts, its
-// sockets, its start and its planned stop.
+// Package node assembles an instance that serves routes in a dialect: it wires up the
+// components, opens the sockets, starts the instance and shuts it down.
 package node
 
 import (
@@ -31,31 +31,31 @@
 	"amaranthvalve/pkg/place"
 )
 
-// Error is the class of errors that keep an instance from starting.
+// Error is the class of errors that prevent an instance from starting.
 var Error = errs.Class("instance")
 
 const (
-	// tokensShare is the part of the time that tokens may be honoured which is
-	// used: the rest covers a request's way to its endpoint.
-	tokensShare = 0.9
-	// keptIdle is how long a connection for calls that may be repeated is kept
-	// idle: endpoints close theirs after a few seconds.
-	keptIdle = 1500 * time.Millisecond
-	// keptTimes is how many times as long as they are told some callers keep an
-	// address.
-	keptTimes = 3
-	// stopMargin is left of a planned stop for the last answers and for what comes after them.
-	stopMargin = 300 * clock.Milli(1)
-	// stopSettle is how long requests that cross the end of kept answers are
-	// still answered.
-	stopSettle = clock.Second
-	// stopStep is how often a planned stop looks at what is under way.
-	stopStep = 50 * time.Millisecond
-	// stopLast is how long a planned stop waits for what was sent last.
-	stopLast = 50 * clock.Milli(1)
+	// tokenAgeShare is the share of the maximum view age for tokens within which a request
+	// is sent: the rest covers its transfer to the endpoint.
+	tokenAgeShare = 0.9
+	// idleConnTimeout is the idle time-out of pooled connections, which carry only calls that
+	// may be repeated. It is short because endpoints close idle connections after a few seconds.
+	idleConnTimeout = 1500 * time.Millisecond
+	// entryTTLFactor is the multiple of the entry TTL for which some callers cache an address.
+	entryTTLFactor = 3
+	// shutdownMargin is the part of the shutdown time-out that is reserved for the last answers
+	// and the steps after them.
+	shutdownMargin = 300 * clock.Milli(1)
+	// entryTTLSlack extends the time of service for requests that are sent just before a cached
+	// address expires.
+	entryTTLSlack = clock.Second
+	// shutdownPollInterval is the interval at which a shutdown checks for remaining work.
+	shutdownPollInterval = 50 * time.Millisecond
+	// shutdownFlush is how long a shutdown waits for the delivery of the last messages.
+	shutdownFlush = 50 * clock.Milli(1)
 )
 
-// Node is an instance that serves routes, spoken to in a dialect.
+// Node is an instance that serves routes in a dialect.
 type Node struct {
 	set   *conf.Settings
 	clk   clock.Clock
@@ -64,26 +64,26 @@
 	ctl   *state.Control
 	front *front.Front
 	pools *pools.Pools
-	homes *coord.Coordinator
+	coord *coord.Coordinator
 	link  *peer.Link
 
-	calls  *serve.Server
-	others []*http.Server
-	lsns   []net.Listener
-	cancel context.CancelFunc
-	ended  chan struct{}
-	// keep is how long callers may keep an address, in milliseconds; longer is the instant up
-	// to which callers may go by a longer time that they were told before.
-	keep   atomic.Int64
-	longer atomic.Int64
+	callers      *serve.Server
+	auxServers   []*http.Server
+	auxListeners []net.Listener
+	cancel       context.CancelFunc
+	stopped      chan struct{}
+	// entryTTL is how long callers may cache an address, in milliseconds. oldEntriesUntil is the
+	// instant at which addresses cached under an earlier, longer TTL have expired.
+	entryTTL        atomic.Int64
+	oldEntriesUntil atomic.Int64
 }
 
-// New opens the sockets of an instance that speaks a dialect. Nothing is
-// served before Start.
+// New opens the sockets of an instance that serves a dialect. It accepts no requests
+// before Start.
 func New(set *conf.Settings, dia *proto.Dialect, log zerolog.Logger) (*Node, error) {
-	nod := &Node{set: set, log: log, mtr: meter.New(), ended: make(chan struct{})}
-	nod.keep.Store(int64(set.EntryTTL()))
-	calls, err := net.Listen("tcp", set.CallerAddr())
+	nod := &Node{set: set, log: log, mtr: meter.New(), stopped: make(chan struct{})}
+	nod.entryTTL.Store(int64(set.EntryTTL()))
+	lsn, err := net.Listen("tcp", set.CallerAddr())
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
@@ -92,9 +92,9 @@
 			return nil, err
 		}
 	}
-	nod.open(dia)
-	nod.calls = serve.New(calls, nod.front)
-	return nod, nod.openOthers(dia)
+	nod.build(dia)
+	nod.callers = serve.New(lsn, nod.front)
+	return nod, nod.openAuxServers(dia)
 }
 
 func (nod *Node) openLink() error {
@@ -105,15 +105,15 @@
 	nod.link, err = peer.Listen(nod.set.PeerAddr(), server, client, func(ctx context.Context, msg peer.Message) peer.Message {
 		switch msg.Kind {
 		case peer.ReleaseResults:
-			return nod.homes.HandleRelease(msg)
+			return nod.coord.HandleRelease(msg)
 		case peer.GetWait:
-			return nod.homes.HandleWaitQuery(msg)
+			return nod.coord.HandleWaitQuery(msg)
 		case peer.PlacePrompt:
-			return nod.homes.HandlePlace(msg)
+			return nod.coord.HandlePlace(msg)
 		case peer.ReportPlaced:
-			return nod.homes.HandleReports(msg)
+			return nod.coord.HandleReports(msg)
 		case peer.GetPermit:
-			return nod.homes.HandlePermit(msg)
+			return nod.coord.HandlePermit(msg)
 		}
 		return nod.ctl.Handle(ctx, msg)
 	})
@@ -124,60 +124,60 @@
 		if msg.Kind == peer.PollUpdate {
 			return nod.ctl.ServeFollower(ctx, msg)
 		}
-		return nod.homes.HandleOrder(ctx, msg)
+		return nod.coord.HandleOrder(ctx, msg)
 	}
 	nod.link.OnRefused = func(err error) {
 		nod.mtr.CountEvent(meter.EventPeerRefused)
-		nod.log.Warn().Err(err).Msg("a peer was refused")
+		nod.log.Warn().Err(err).Msg("peer connection refused")
 	}
 	return nil
 }
 
-// open makes the parts.
-func (nod *Node) open(dia *proto.Dialect) {
+// build creates the components and connects them.
+func (nod *Node) build(dia *proto.Dialect) {
 	self := nod.set.PeerAdvertise()
 	if self == "" {
 		self = nod.set.CallerAddr()
 	}
 	inc := ident.NewIncarnation(self)
 	nod.log = nod.log.With().Str("instance", string(inc)).Logger()
-	heard := func(addr string, res *http.Response, ago time.Duration) {
+	onReply := func(addr string, res *http.Response, ago time.Duration) {
 		nod.ctl.RecordReply(addr, dia.Reply(res), nod.clk.Now()-clock.FromDuration(ago))
 	}
-	kept := relay.PooledClient(keptIdle, heard)
-	share, most, window := nod.set.RetryBudget()
-	desk := batch.New(batch.Setup{
-		Dialect: dia, Client: kept, Clock: nod.clk, Meter: nod.mtr, Log: nod.log, Share: share, Reserve: most, Window: window,
+	cli := relay.PooledClient(idleConnTimeout, onReply)
+	share, reserve, window := nod.set.RetryBudget()
+	btr := batch.New(batch.Setup{
+		Dialect: dia, Client: cli, Clock: nod.clk, Meter: nod.mtr, Log: nod.log, Share: share, Reserve: reserve, Window: window,
 		OnMisdirected:   func(id ident.Process, why string) { nod.ctl.EndpointLeaving(id, why) },
 		ProcessEnded:    relay.ProcessEnded,
-		RateShare:       func(pool string) float64 { return nod.homes.RateShare(pool) },
-		OnInputsFetched: func(lots []batch.ResultSet) { nod.homes.ReleaseAll(lots) },
+		RateShare:       func(pool string) float64 { return nod.coord.RateShare(pool) },
+		OnInputsFetched: func(lots []batch.ResultSet) { nod.coord.ReleaseAll(lots) },
 	})
-	pls := pools.New(pools.Setup{Clock: nod.clk, Zone: nod.set.Zone(), RetryShare: share, RetryReserve: most})
+	pls := pools.New(pools.Setup{Clock: nod.clk, Zone: nod.set.Zone(), RetryShare: share, RetryReserve: reserve})
 	nod.pools = pls
 	nod.ctl = state.New(state.Setup{
 		Self: inc, Zone: nod.set.Zone(), Caller: nod.set.CallerAddr(), Seeds: nod.set.Peers(), Capacity: nod.set.Capacity(),
-		Clock: nod.clk, Store: dia.Store(nod.set.StoreAddr(), relay.PooledClient(keptIdle, nil)), Meter: nod.mtr, Log: nod.log,
+		Clock: nod.clk, Store: dia.Store(nod.set.StoreAddr(), relay.PooledClient(idleConnTimeout, nil)), Meter: nod.mtr, Log: nod.log,
 		Dialect: dia, Link: nod.link, TokenMaxViewAge: nod.set.TokenMaxViewAge(),
 		OnChange: func(vw *state.View) {
-			desk.Sync(vw.Plan(), vw.Endpoints(), vw.Rates())
+			btr.Sync(vw.Plan(), vw.Endpoints(), vw.Rates())
 			pls.Sync(vw)
 			if pln := vw.Plan(); pln != nil {
-				nod.calls.SetLimits(serve.Limits{HeaderTimeout: pln.Limits().HeaderTime, IdleTimeout: pln.Limits().IdleTime})
+				nod.callers.SetLimits(serve.Limits{HeaderTimeout: pln.Limits().HeaderTime, IdleTimeout: pln.Limits().IdleTime})
 			}
 		},
 	})
-	nod.homes = coord.New(coord.Setup{Control: nod.ctl, Batcher: desk, Pools: pls, Link: nod.link, Clock: nod.clk, Log: nod.log, CachedParts: asksHeld(dia, kept)})
+	nod.coord = coord.New(coord.Setup{Control: nod.ctl, Batcher: btr, Pools: pls, Link: nod.link, Clock: nod.clk, Log: nod.log, CachedParts: cachedParts(dia, cli)})
 	nod.front = front.New(front.Setup{
-		Control: nod.ctl, Dialect: dia, Relay: relay.New(dia, heard), Pools: pls, Coordinator: nod.homes, Clock: nod.clk,
+		Control: nod.ctl, Dialect: dia, Relay: relay.New(dia, onReply), Pools: pls, Coordinator: nod.coord, Clock: nod.clk,
 		Meter: nod.mtr, Log: nod.log,
-		TokensFor: clock.Milli(tokensShare * float64(nod.set.TokenMaxViewAge())),
+		TokensFor: clock.Milli(tokenAgeShare * float64(nod.set.TokenMaxViewAge())),
 	})
 }
 
-// asksHeld gives what asks model engines which parts of prompts they hold, nil in a dialect
-// without such a question.
-func asksHeld(dia *proto.Dialect, cli *http.Client) func(ctx context.Context, ep proto.Endpoint) ([]place.Part, error) {
+// cachedParts returns the query for the prompt parts that a model engine has cached, or nil if
+// the dialect has no such query.
+func cachedParts(dia *proto.Dialect, cli *http.Client) func(ctx context.Context, ep proto.Endpoint) ([]place.Part, error) {
 	if dia.CachedParts == nil {
 		return nil
 	}
@@ -186,18 +186,18 @@
 	}
 }
 
-// openOthers opens what is asked by others than callers.
-func (nod *Node) openOthers(dia *proto.Dialect) error {
+// openAuxServers opens the listeners for entries, readiness, metrics and status.
+func (nod *Node) openAuxServers(dia *proto.Dialect) error {
 	byAddr := map[string][]rest.Route{}
 	add := func(addr, path string, handler http.HandlerFunc) {
 		if addr != "" {
 			byAddr[addr] = append(byAddr[addr], rest.Route{Method: http.MethodGet, Path: path, Handler: handler})
 		}
 	}
-	add(nod.set.EntriesAddr(), dia.EntriesPath, nod.entries(dia))
-	add(nod.set.ReadyAddr(), dia.ReadyPath, nod.ready)
+	add(nod.set.EntriesAddr(), dia.EntriesPath, nod.serveEntries(dia))
+	add(nod.set.ReadyAddr(), dia.ReadyPath, nod.serveReady)
 	add(nod.set.MetricsAddr(), "/metrics", nod.mtr.Handler().ServeHTTP)
-	add(nod.set.MetricsAddr(), wire.StatusPath, nod.showStatus)
+	add(nod.set.MetricsAddr(), wire.StatusPath, nod.serveStatus)
 	for addr, routes := range byAddr {
 		handler, err := serve.NewRouter(routes)
 		if err != nil {
@@ -207,13 +207,13 @@
 		if err != nil {
 			return Error.Wrap(err)
 		}
-		nod.others, nod.lsns = append(nod.others, serve.NewPlain(handler)), append(nod.lsns, lsn)
+		nod.auxServers, nod.auxListeners = append(nod.auxServers, serve.NewPlain(handler)), append(nod.auxListeners, lsn)
 	}
 	return nil
 }
 
-// ready answers whether callers should be sent here.
-func (nod *Node) ready(wrt http.ResponseWriter, _ *http.Request) {
+// serveReady reports whether callers should be routed to this instance.
+func (nod *Node) serveReady(wrt http.ResponseWriter, _ *http.Request) {
 	if nod.ctl.View().Ready(nod.clk.Now()) {
 		wrt.WriteHeader(http.StatusOK)
 		return
@@ -221,9 +221,9 @@
 	wrt.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// entries answers "which address": all instances that take callers. An instance
-// that isn't ready names nobody: it may be the one that is cut off.
-func (nod *Node) entries(dia *proto.Dialect) http.HandlerFunc {
+// serveEntries lists the addresses of all instances that accept callers. An instance that is
+// not ready lists none, because it may be partitioned off from the others.
+func (nod *Node) serveEntries(dia *proto.Dialect) http.HandlerFunc {
 	return func(wrt http.ResponseWriter, _ *http.Request) {
 		vw := nod.ctl.View()
 		if !vw.Ready(nod.clk.Now()) {
@@ -231,20 +231,20 @@
 			return
 		}
 		var addrs []string
-		named := map[string]bool{}
+		seen := map[string]bool{}
 		for _, mbr := range vw.Members() {
-			takes := mbr.ID() == nod.ctl.Self() || mbr.Status() == member.Alive && !mbr.Stale()
-			// A process that ended and the one after it may both be members for a moment.
-			if takes && !named[mbr.Caller()] {
-				named[mbr.Caller()] = true
+			accepts := mbr.ID() == nod.ctl.Self() || mbr.Status() == member.Alive && !mbr.Stale()
+			// A terminated process and its successor may both be members for a moment.
+			if accepts && !seen[mbr.Caller()] {
+				seen[mbr.Caller()] = true
 				addrs = append(addrs, mbr.Caller())
 			}
 		}
-		wire.WriteJSON(wrt, http.StatusOK, dia.Entries(addrs, clock.Milli(nod.keep.Load())))
+		wire.WriteJSON(wrt, http.StatusOK, dia.Entries(addrs, clock.Milli(nod.entryTTL.Load())))
 	}
 }
 
-// Start serves until Stop or Kill.
+// Start serves requests until Stop or Kill is called.
 func (nod *Node) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	nod.cancel = cancel
@@ -253,79 +253,80 @@
 	}
 	go func() {
 		nod.ctl.Run(ctx)
-		close(nod.ended)
+		close(nod.stopped)
 	}()
-	go nod.calls.Serve()
-	for i, srv := range nod.others {
-		go func() { _ = srv.Serve(nod.lsns[i]) }()
+	go nod.callers.Serve()
+	for i, srv := range nod.auxServers {
+		go func() { _ = srv.Serve(nod.auxListeners[i]) }()
 	}
 	nod.log.Info().Str("zone", nod.set.Zone()).Str("callers", nod.set.CallerAddr()).
 		Str("store", nod.set.StoreAddr()).Strs("seeds", nod.set.Peers()).Msg("started")
 }
 
-// Apply takes settings that may change while the instance runs: the seeds and how
-// long answers are kept. What names sockets holds until the next start.
+// Apply applies the settings that may change at run time: the seeds and the entry TTL. Changed
+// addresses of sockets take effect at the next start.
 func (nod *Node) Apply(set *conf.Settings) {
-	before := nod.keep.Swap(int64(set.EntryTTL()))
-	if int64(set.EntryTTL()) < before {
-		until := int64(nod.clk.Now()) + keptTimes*before
-		nod.longer.Store(max(nod.longer.Load(), until))
+	old := nod.entryTTL.Swap(int64(set.EntryTTL()))
+	if int64(set.EntryTTL()) < old {
+		until := int64(nod.clk.Now()) + entryTTLFactor*old
+		nod.oldEntriesUntil.Store(max(nod.oldEntriesUntil.Load(), until))
 	}
 	nod.ctl.SetSeeds(set.Peers())
 }
 
-// Stop is a planned stop. The instance leaves the answers to "which address" and
-// says so to the others. Until kept answers have run out it serves what surely ends
-// before the stop does, and refuses the rest; then it finishes what is under way. What is
-// still under way when its time is up is given up with a word to the callers.
+// Stop performs a planned shutdown. The instance removes itself from the entries and notifies the
+// other instances. Until cached addresses have expired it serves the requests that are certain
+// to end before the shutdown does and refuses the others; then it finishes the requests in
+// flight. Those that remain when its time is up are aborted, and their callers get an answer.
 func (nod *Node) Stop(ctx context.Context) {
-	began := nod.clk.Now()
-	end := began + nod.set.ShutdownTimeout() - stopMargin
-	kept := max(keptTimes*clock.Milli(nod.keep.Load()), clock.Milli(nod.longer.Load())-began) + stopSettle
-	nod.log.Info().Int64("kept_ms", int64(kept)).Int64("stop_ms", int64(nod.set.ShutdownTimeout())).Int64("under_way", nod.front.InFlight()).Msg("leaving")
-	// The control thread may be busy; what comes meanwhile is bound by the stop's end too.
+	start := nod.clk.Now()
+	end := start + nod.set.ShutdownTimeout() - shutdownMargin
+	serveFor := max(entryTTLFactor*clock.Milli(nod.entryTTL.Load()), clock.Milli(nod.oldEntriesUntil.Load())-start) + entryTTLSlack
+	nod.log.Info().Int64("kept_ms", int64(serveFor)).Int64("stop_ms", int64(nod.set.ShutdownTimeout())).Int64("under_way", nod.front.InFlight()).Msg("leaving")
+	// The control loop may be busy; requests that arrive meanwhile are bound by the end of the
+	// shutdown too.
 	nod.front.BeginShutdown(end)
-	sctx, cancel := nod.withEnd(ctx, end)
+	sctx, cancel := nod.withDeadline(ctx, end)
 	defer cancel()
 	nod.ctl.Leave(sctx)
-	nod.until(ctx, min(began+kept, end), func() bool { return false })
-	nod.log.Info().Int64("under_way", nod.front.InFlight()).Msg("taking no new connections, finishing what is under way")
-	nod.calls.Shutdown(sctx)
-	nod.until(ctx, end, func() bool { return nod.homes.Orders() == 0 })
-	// The last answers to others, and results that are given back, are on their way for a moment.
-	nod.until(ctx, min(nod.clk.Now()+stopLast, end), func() bool { return false })
-	under := nod.front.InFlight()
-	nod.calls.Abort()
-	nod.log.Info().Int64("given_up", under).Int64("took_ms", int64(nod.clk.Since(began))).Msg("stopped")
+	nod.waitUntil(ctx, min(start+serveFor, end), func() bool { return false })
+	nod.log.Info().Int64("under_way", nod.front.InFlight()).Msg("accepting no new connections, finishing requests in flight")
+	nod.callers.Shutdown(sctx)
+	nod.waitUntil(ctx, end, func() bool { return nod.coord.Orders() == 0 })
+	// The last answers to other instances and the releases of results take a moment to arrive.
+	nod.waitUntil(ctx, min(nod.clk.Now()+shutdownFlush, end), func() bool { return false })
+	inFlight := nod.front.InFlight()
+	nod.callers.Abort()
+	nod.log.Info().Int64("given_up", inFlight).Int64("took_ms", int64(nod.clk.Since(start))).Msg("stopped")
 	nod.Kill()
 }
 
-// withEnd gives a context that ends at an instant of the instance's clock, which goes on while
-// the machine is suspended; those of the runtime don't.
-func (nod *Node) withEnd(ctx context.Context, end clock.Milli) (context.Context, context.CancelFunc) {
+// withDeadline returns a context that is cancelled at an instant of the instance's clock. This
+// clock advances while the machine is suspended; the timers of the runtime do not.
+func (nod *Node) withDeadline(ctx context.Context, end clock.Milli) (context.Context, context.CancelFunc) {
 	ectx, cancel := context.WithCancel(ctx)
 	go func() {
 		defer cancel()
-		nod.until(ectx, end, func() bool { return false })
+		nod.waitUntil(ectx, end, func() bool { return false })
 	}()
 	return ectx, cancel
 }
 
-// until waits for an instant, or until done.
-func (nod *Node) until(ctx context.Context, at clock.Milli, done func() bool) {
+// waitUntil waits until an instant is reached, the context ends or done returns true.
+func (nod *Node) waitUntil(ctx context.Context, at clock.Milli, done func() bool) {
 	for nod.clk.Now() < at && ctx.Err() == nil && !done() {
-		time.Sleep(stopStep)
+		time.Sleep(shutdownPollInterval)
 	}
 }
 
-// Kill ends the instance at once, as a crash would.
+// Kill terminates the instance at once, like a crash.
 func (nod *Node) Kill() {
-	nod.calls.Close()
-	for _, srv := range nod.others {
+	nod.callers.Close()
+	for _, srv := range nod.auxServers {
 		_ = srv.Close()
 	}
 	if nod.cancel != nil {
 		nod.cancel()
-		<-nod.ended
+		<-nod.stopped
 	}
 }
--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -23,378 +23,380 @@
 )
 
 const (
-	// deadly is a body under which engines end.
-	deadly = "this prompt ends engines"
-	// backAfterEnd is how long after its end an engine is there again, under another name.
-	backAfterEnd = 300 * time.Millisecond
-	// spreadWithin is the time in which all instances must know what one has learned.
-	spreadWithin = 3 * time.Second
+	// crashBody is a request body that makes engines crash.
+	crashBody = "this prompt ends engines"
+	// restartDelay is the time from the crash of an engine to the start of its successor, which
+	// has another name.
+	restartDelay = 300 * time.Millisecond
+	// spreadTime is the time within which gossip must reach all instances.
+	spreadTime = 3 * time.Second
 )
 
-// crashes has engines end under requests, and counts.
-type crashes struct {
-	wld *world
+// crashTest makes engines crash under requests and counts these requests.
+type crashTest struct {
+	tbd *testbed
 	mtx sync.Mutex
-	// reached are the instants at which requests with the deadly body reached engines.
-	reached []time.Time
-	next    int
-	sent    int
-	// over tells that the test has ended.
-	over bool
+	// arrivals are the times at which requests with crashBody reached engines.
+	arrivals []time.Time
+	nextID   int
+	sent     int
+	// done is set at the end of the test.
+	done bool
 }
 
-// endsEngines adds engines, and has all of them end on requests with the deadly body.
-func (wld *world) endsEngines(more int) *crashes {
-	crs := &crashes{wld: wld, next: len(wld.engines)}
-	wld.defers(func() {
-		crs.mtx.Lock()
-		defer crs.mtx.Unlock()
-		crs.over = true
+// crashEngines adds engines and makes all of them crash on requests with crashBody.
+func (tbd *testbed) crashEngines(more int) *crashTest {
+	crt := &crashTest{tbd: tbd, nextID: len(tbd.engines)}
+	tbd.cleanup(func() {
+		crt.mtx.Lock()
+		defer crt.mtx.Unlock()
+		crt.done = true
 	})
-	crs.rearm()
+	crt.rearm()
 	for range more {
-		crs.add()
+		crt.add()
 	}
-	for _, nod := range wld.nodes {
+	for _, nod := range tbd.nodes {
 		eventually(func() int {
 			return len(slices.DeleteFunc(slices.Clone(nod.ctl.View().Endpoints()), func(ep proto.Endpoint) bool { return ep.Pool != "engines" }))
-		}, soon).Should(equal(len(wld.engines)))
+		}, pollTimeout).Should(equal(len(tbd.engines)))
 	}
-	return crs
+	return crt
 }
 
-func (crs *crashes) add() {
-	crs.mtx.Lock()
-	defer crs.mtx.Unlock()
-	if crs.over {
+func (crt *crashTest) add() {
+	crt.mtx.Lock()
+	defer crt.mtx.Unlock()
+	if crt.done {
 		return
 	}
-	ep := crs.wld.add("engines", fmt.Sprintf("engine-%d", crs.next))
-	crs.next++
-	crs.wld.engines = append(crs.wld.engines, ep)
-	crs.arm(ep, crs.wld.servers[ep.ID()])
+	ep := crt.tbd.add("engines", fmt.Sprintf("engine-%d", crt.nextID))
+	crt.nextID++
+	crt.tbd.engines = append(crt.tbd.engines, ep)
+	crt.arm(ep, crt.tbd.servers[ep.ID()])
 }
 
-// rearm has all engines end on such requests again.
-func (crs *crashes) rearm() {
-	crs.mtx.Lock()
-	defer crs.mtx.Unlock()
-	for _, ep := range crs.wld.engines {
-		crs.arm(ep, crs.wld.servers[ep.ID()])
+// rearm makes all engines crash on such requests again.
+func (crt *crashTest) rearm() {
+	crt.mtx.Lock()
+	defer crt.mtx.Unlock()
+	for _, ep := range crt.tbd.engines {
+		crt.arm(ep, crt.tbd.servers[ep.ID()])
 	}
 }
 
-// arm has an engine end, its entry go and another one come.
-func (crs *crashes) arm(ep *fake.Endpoint, srv *stand.Server) {
-	ep.EndsOn(deadly, func() {
-		crs.mtx.Lock()
-		crs.reached = append(crs.reached, time.Now())
-		crs.mtx.Unlock()
+// arm makes an engine crash; restartDelay later a new engine replaces its entry.
+func (crt *crashTest) arm(ep *fake.Endpoint, srv *stand.Server) {
+	ep.EndsOn(crashBody, func() {
+		crt.mtx.Lock()
+		crt.arrivals = append(crt.arrivals, time.Now())
+		crt.mtx.Unlock()
 		srv.Close()
-		time.AfterFunc(backAfterEnd, func() {
-			crs.wld.store.RemoveEndpoint(ep.ID())
-			crs.add()
+		time.AfterFunc(restartDelay, func() {
+			crt.tbd.store.RemoveEndpoint(ep.ID())
+			crt.add()
 		})
 	})
 }
 
-// all lists the engines that there were so far.
-func (crs *crashes) all() []*fake.Endpoint {
-	crs.mtx.Lock()
-	defer crs.mtx.Unlock()
-	return slices.Clone(crs.wld.engines)
+// allEngines lists all engines that have existed so far.
+func (crt *crashTest) allEngines() []*fake.Endpoint {
+	crt.mtx.Lock()
+	defer crt.mtx.Unlock()
+	return slices.Clone(crt.tbd.engines)
 }
 
-// count gives how many deadly requests reached engines so far.
-func (crs *crashes) count() int {
-	crs.mtx.Lock()
-	defer crs.mtx.Unlock()
-	return len(crs.reached)
+// arrivalCount returns the number of requests with crashBody that have reached engines.
+func (crt *crashTest) arrivalCount() int {
+	crt.mtx.Lock()
+	defer crt.mtx.Unlock()
+	return len(crt.arrivals)
 }
 
-// repeat has the deadly request come again for a span, to one instance after the other.
-func (crs *crashes) repeat(span time.Duration) []got {
-	var list []got
+// sendRepeatedly sends the request with crashBody to the instances in turn for a time.
+func (crt *crashTest) sendRepeatedly(span time.Duration) []response {
+	var list []response
 	for until := time.Now().Add(span); time.Now().Before(until); time.Sleep(200 * time.Millisecond) {
-		crs.sent++
-		list = append(list, crs.wld.send(crs.sent%len(crs.wld.nodes), ask{path: "/stream-once/plan", body: deadly}))
+		crt.sent++
+		list = append(list, crt.tbd.send(crt.sent%len(crt.tbd.nodes), request{path: "/stream-once/plan", body: crashBody}))
 	}
 	return list
 }
 
 var _ = ginkgo.Describe("a request under which engines end", func() {
-	// Guards against repeats of it that reach engines without bound, since each instance has
-	// seen but some of the ends.
-	ginkgo.It("reaches no more than three once all could know of three ends", func() {
-		wld := newWorld(4)
-		crs := wld.endsEngines(4)
-		for crs.count() < 3 {
-			crs.repeat(time.Millisecond)
+	// Guards against repeats that reach engines without bound because each instance has seen only
+	// some of the crashes.
+	ginkgo.It("reaches at most three more engines after gossip has spread three crashes", func() {
+		tbd := newTestbed(4)
+		crt := tbd.crashEngines(4)
+		for crt.arrivalCount() < 3 {
+			crt.sendRepeatedly(time.Millisecond)
 		}
-		crs.repeat(spreadWithin)
-		before := crs.count()
-		crs.repeat(3 * time.Second)
-		expect(crs.count() - before).To(gomega.BeNumerically("<=", 3))
-		expect(wld.send(0, ask{path: "/stream-once/plan", body: "another plan"}).status).To(equal(http.StatusOK))
+		crt.sendRepeatedly(spreadTime)
+		before := crt.arrivalCount()
+		crt.sendRepeatedly(3 * time.Second)
+		expect(crt.arrivalCount() - before).To(gomega.BeNumerically("<=", 3))
+		expect(tbd.send(0, request{path: "/stream-once/plan", body: "another plan"}).status).To(equal(http.StatusOK))
 	})
 
-	// Guards against a refusal that has its caller come back in vain, and against one that doesn't
-	// tell what it goes by.
-	ginkgo.It("is refused at once then, with the endpoints that ended and without a time to come back", func() {
-		wld := newWorld(2)
-		crs := wld.endsEngines(4)
-		var last got
+	// Guards against a refusal that makes its caller retry in vain, and against one that does not
+	// name the crashes it is based on.
+	ginkgo.It("is then refused at once with the crashed endpoints and without a retry-after delay", func() {
+		tbd := newTestbed(2)
+		crt := tbd.crashEngines(4)
+		var last response
 		eventually(func() string {
-			last = crs.repeat(time.Millisecond)[0]
+			last = crt.sendRepeatedly(time.Millisecond)[0]
 			return last.body
-		}, soon).Should(gomega.ContainSubstring(`"quarantined"`))
+		}, pollTimeout).Should(gomega.ContainSubstring(`"quarantined"`))
 		expect(last.status).To(equal(http.StatusServiceUnavailable))
 		expect(last.header).NotTo(gomega.HaveKey("Retry-After"))
 		expect(last.body).To(gomega.MatchRegexp(`3 endpoints crashed under this request: engine-\d+ .*s ago, reported by 127.*; engine-\d+ .*; engine-\d+`))
 	})
 
-	// Guards against an end that counts at the instance alone that saw it.
-	ginkgo.It("is refused by all once each of three instances has seen one end", func() {
-		wld := newWorld(4)
-		crs := wld.endsEngines(4)
-		for crs.count() < 3 {
-			wld.send(crs.count(), ask{path: "/stream-once/plan", body: deadly})
+	// Guards against a crash that counts only at the instance that saw it.
+	ginkgo.It("is refused by all instances once each of three has seen one crash", func() {
+		tbd := newTestbed(4)
+		crt := tbd.crashEngines(4)
+		for crt.arrivalCount() < 3 {
+			tbd.send(crt.arrivalCount(), request{path: "/stream-once/plan", body: crashBody})
 		}
 		time.Sleep(200 * time.Millisecond)
-		for i := range wld.nodes {
-			expect(wld.send(i, ask{path: "/stream-once/plan", body: deadly}).body).To(gomega.ContainSubstring(`"quarantined"`), "instance %d", i)
+		for i := range tbd.nodes {
+			expect(tbd.send(i, request{path: "/stream-once/plan", body: crashBody}).body).To(gomega.ContainSubstring(`"quarantined"`), "instance %d", i)
 		}
-		expect(crs.count()).To(equal(3))
+		expect(crt.arrivalCount()).To(equal(3))
 	})
 
-	// Guards against a request that is refused since its connections were cut, by endpoints that
-	// go on, and by endpoints that left as they had said.
-	ginkgo.It("is not one whose connections are cut, or whose endpoints leave", func() {
-		wld := newWorld(2)
+	// Guards against counting as crashes the connections that running endpoints cut, and the ends
+	// of endpoints that had announced that they were leaving.
+	ginkgo.It("is not one whose connections are cut or whose endpoints leave", func() {
+		tbd := newTestbed(2)
 		for i := range 6 {
-			fault(wld.plain, fake.Cuts, fake.Cuts)
-			expect(wld.send(i%2, ask{path: "/booking/x", body: "cut"}).status).To(equal(http.StatusBadGateway))
-			for _, ep := range wld.plain {
+			injectFaults(tbd.plain, fake.Cuts, fake.Cuts)
+			expect(tbd.send(i%2, request{path: "/booking/x", body: "cut"}).status).To(equal(http.StatusBadGateway))
+			for _, ep := range tbd.plain {
 				ep.Mend()
 			}
 		}
 		var grp sync.WaitGroup
 		for i := range 3 {
 			id := fmt.Sprintf("leaving-%d", i)
-			ep := wld.add("bookings", id)
-			for _, old := range wld.plain {
-				wld.entry("bookings", old.ID(), wld.servers[old.ID()].Addr(), true)
+			ep := tbd.add("bookings", id)
+			for _, old := range tbd.plain {
+				tbd.putEntry("bookings", old.ID(), tbd.servers[old.ID()].Addr(), true)
 			}
-			wld.plain = []*fake.Endpoint{ep}
-			eventually(func() bool { return wld.nodes[0].pools.HasUsable("bookings", 1) }, soon).Should(gomega.BeTrue())
+			tbd.plain = []*fake.Endpoint{ep}
+			eventually(func() bool { return tbd.nodes[0].pools.HasUsable("bookings", 1) }, pollTimeout).Should(gomega.BeTrue())
 			ep.Fault(fake.Hangs)
-			grp.Go(func() { wld.send(0, ask{path: "/booking/x", body: "left"}) })
-			eventually(func() int { return len(ep.Runs()) }, soon).Should(equal(1))
-			wld.entry("bookings", id, wld.servers[id].Addr(), true)
-			eventually(func() bool { return wld.nodes[0].pools.HasUsable("bookings", 0) }, soon).Should(gomega.BeTrue())
-			wld.servers[id].Close()
+			grp.Go(func() { tbd.send(0, request{path: "/booking/x", body: "left"}) })
+			eventually(func() int { return len(ep.Runs()) }, pollTimeout).Should(equal(1))
+			tbd.putEntry("bookings", id, tbd.servers[id].Addr(), true)
+			eventually(func() bool { return tbd.nodes[0].pools.HasUsable("bookings", 0) }, pollTimeout).Should(gomega.BeTrue())
+			tbd.servers[id].Close()
 			grp.Wait()
 		}
 		time.Sleep(200 * time.Millisecond)
-		expect(wld.nodes[0].ctl.View().Suspects().Empty()).To(gomega.BeTrue())
+		expect(tbd.nodes[0].ctl.View().Suspects().Empty()).To(gomega.BeTrue())
 	})
 
-	// Guards against requests of others that are refused with it: same target and body of another
-	// caller, another body or target of the same one.
-	ginkgo.It("has no other request refused", func() {
-		wld := newWorld(2)
-		crs := wld.endsEngines(4)
-		eventually(func() string { return crs.repeat(time.Millisecond)[0].body }, soon).Should(gomega.ContainSubstring(`"quarantined"`))
-		ended := crs.count()
-		for i := range wld.nodes {
-			expect(wld.send(i, ask{path: "/stream-once/plan", body: "another"}).status).To(equal(http.StatusOK))
-			expect(wld.send(i, ask{path: "/stream-once/plan?again", body: deadly}).body).NotTo(gomega.ContainSubstring(`"quarantined"`))
+	// Guards against refusing requests with another fingerprint: those of another caller, or with
+	// another body or target.
+	ginkgo.It("does not cause other requests to be refused", func() {
+		tbd := newTestbed(2)
+		crt := tbd.crashEngines(4)
+		eventually(func() string { return crt.sendRepeatedly(time.Millisecond)[0].body }, pollTimeout).Should(gomega.ContainSubstring(`"quarantined"`))
+		ended := crt.arrivalCount()
+		for i := range tbd.nodes {
+			expect(tbd.send(i, request{path: "/stream-once/plan", body: "another"}).status).To(equal(http.StatusOK))
+			expect(tbd.send(i, request{path: "/stream-once/plan?again", body: crashBody}).body).NotTo(gomega.ContainSubstring(`"quarantined"`))
 		}
-		expect(crs.count()).To(equal(ended + 2))
+		expect(crt.arrivalCount()).To(equal(ended + 2))
 	})
 
-	// Guards against an instance that starts, or was cut off from the others, and lets the request
-	// in that all others refuse.
-	ginkgo.It("is refused by an instance that starts later, and by one that was cut off", func() {
-		var off atomic.Bool
-		wld := newWorld(0)
+	// Guards against an instance that has just started or was partitioned off and admits a request
+	// that all other instances refuse.
+	ginkgo.It("is refused by an instance that starts later and by one that was partitioned off", func() {
+		var partitioned atomic.Bool
+		tbd := newTestbed(0)
 		for range 3 {
-			wld.startLinked(func(nod *Node) {
-				last := len(wld.nodes) == 2
+			tbd.startWithLink(func(nod *Node) {
+				last := len(tbd.nodes) == 2
 				nod.link.Partitioned = func(addr string) bool {
-					return off.Load() && (last || addr == wld.nodes[2].link.Addr())
+					return partitioned.Load() && (last || addr == tbd.nodes[2].link.Addr())
 				}
 			})
 		}
-		wld.meet()
-		crs := wld.endsEngines(4)
-		// What lies in the store must not reach the one that was cut off.
-		wld.ways[2].cut.Store(true)
-		off.Store(true)
-		for crs.count() < 3 {
-			wld.send(crs.count()%2, ask{path: "/stream-once/plan", body: deadly})
+		tbd.waitJoined()
+		crt := tbd.crashEngines(4)
+		// The facts in the store must not reach the instance that is partitioned off.
+		tbd.proxies[2].cut.Store(true)
+		partitioned.Store(true)
+		for crt.arrivalCount() < 3 {
+			tbd.send(crt.arrivalCount()%2, request{path: "/stream-once/plan", body: crashBody})
 		}
-		// Until the messages on the ends are given up.
+		// Wait until the messages about the crashes have timed out.
 		time.Sleep(1500 * time.Millisecond)
-		off.Store(false)
-		wld.start()
-		time.Sleep(spreadWithin)
-		ended := crs.count()
-		for i := range wld.nodes {
-			expect(wld.send(i, ask{path: "/stream-once/plan", body: deadly}).body).To(gomega.ContainSubstring(`"quarantined"`), "instance %d", i)
+		partitioned.Store(false)
+		tbd.start()
+		time.Sleep(spreadTime)
+		ended := crt.arrivalCount()
+		for i := range tbd.nodes {
+			expect(tbd.send(i, request{path: "/stream-once/plan", body: crashBody}).body).To(gomega.ContainSubstring(`"quarantined"`), "instance %d", i)
 		}
-		expect(crs.count()).To(equal(ended))
+		expect(crt.arrivalCount()).To(equal(ended))
 	})
 
-	// Guards against instances that all ended, and whose successors let the request in again.
+	// Guards against successors that admit the request again after all instances have terminated.
 	ginkgo.It("is refused after all instances have ended", func() {
-		wld := newWorld(3)
-		crs := wld.endsEngines(4)
-		for crs.count() < 3 {
-			wld.send(crs.count(), ask{path: "/stream-once/plan", body: deadly})
+		tbd := newTestbed(3)
+		crt := tbd.crashEngines(4)
+		for crt.arrivalCount() < 3 {
+			tbd.send(crt.arrivalCount(), request{path: "/stream-once/plan", body: crashBody})
 		}
-		time.Sleep(spreadWithin)
-		for _, nod := range wld.nodes {
+		time.Sleep(spreadTime)
+		for _, nod := range tbd.nodes {
 			nod.Kill()
 		}
-		wld.nodes = nil
+		tbd.nodes = nil
 		for range 3 {
-			wld.start()
+			tbd.start()
 		}
-		for i := range wld.nodes {
-			expect(wld.send(i, ask{path: "/stream-once/plan", body: deadly}).body).To(gomega.ContainSubstring(`"quarantined"`), "instance %d", i)
+		for i := range tbd.nodes {
+			expect(tbd.send(i, request{path: "/stream-once/plan", body: crashBody}).body).To(gomega.ContainSubstring(`"quarantined"`), "instance %d", i)
 		}
-		expect(crs.count()).To(equal(3))
+		expect(crt.arrivalCount()).To(equal(3))
 	})
 
-	// Guards against requests that are refused since they were at endpoints that ended for another
-	// reason, again and again, and ran in between.
+	// Guards against refusing a request that repeatedly was at endpoints which crashed for another
+	// reason, although it completed in between.
 	ginkgo.It("is cleared once an endpoint has run it", func() {
-		wld := newWorld(2)
-		crs := wld.endsEngines(4)
+		tbd := newTestbed(2)
+		crt := tbd.crashEngines(4)
 		for range 3 {
-			ended := crs.count()
+			ended := crt.arrivalCount()
 			eventually(func() int {
-				crs.repeat(time.Millisecond)
-				return crs.count()
-			}, soon).Should(gomega.BeNumerically(">=", ended+2))
-			time.Sleep(2 * backAfterEnd)
-			for _, ep := range crs.all() {
+				crt.sendRepeatedly(time.Millisecond)
+				return crt.arrivalCount()
+			}, pollTimeout).Should(gomega.BeNumerically(">=", ended+2))
+			time.Sleep(2 * restartDelay)
+			for _, ep := range crt.allEngines() {
 				ep.EndsOn("", nil)
 			}
-			expect(crs.repeat(time.Millisecond)[0].status).To(equal(http.StatusOK))
-			crs.rearm()
+			expect(crt.sendRepeatedly(time.Millisecond)[0].status).To(equal(http.StatusOK))
+			crt.rearm()
 		}
 	})
 
-	// Guards against a request that is let in without bound since endpoints fail it now and then
+	// Guards against a request that is admitted without bound because endpoints sometimes fail it
 	// before they run it.
 	ginkgo.It("is not cleared by a failure", func() {
-		wld := newWorld(2)
-		crs := wld.endsEngines(4)
-		for crs.count() < 2 {
-			wld.send(crs.count(), ask{path: "/stream-once/plan", body: deadly})
+		tbd := newTestbed(2)
+		crt := tbd.crashEngines(4)
+		for crt.arrivalCount() < 2 {
+			tbd.send(crt.arrivalCount(), request{path: "/stream-once/plan", body: crashBody})
 		}
-		time.Sleep(2 * backAfterEnd)
-		for _, ep := range crs.all() {
+		time.Sleep(2 * restartDelay)
+		for _, ep := range crt.allEngines() {
 			ep.EndsOn("", nil)
 			ep.Fault(fake.Fails)
 		}
-		expect(crs.repeat(time.Millisecond)[0].status).To(equal(http.StatusInternalServerError))
-		for _, ep := range crs.all() {
+		expect(crt.sendRepeatedly(time.Millisecond)[0].status).To(equal(http.StatusInternalServerError))
+		for _, ep := range crt.allEngines() {
 			ep.Mend()
 		}
-		crs.rearm()
-		wld.send(0, ask{path: "/stream-once/plan", body: deadly})
-		expect(crs.count()).To(equal(3))
+		crt.rearm()
+		tbd.send(0, request{path: "/stream-once/plan", body: crashBody})
+		expect(crt.arrivalCount()).To(equal(3))
 		time.Sleep(200 * time.Millisecond)
-		for i := range wld.nodes {
-			expect(wld.send(i, ask{path: "/stream-once/plan", body: deadly}).body).To(gomega.ContainSubstring(`"quarantined"`), "instance %d", i)
+		for i := range tbd.nodes {
+			expect(tbd.send(i, request{path: "/stream-once/plan", body: crashBody}).body).To(gomega.ContainSubstring(`"quarantined"`), "instance %d", i)
 		}
 	})
 
-	// Guards against pieces that are made, at endpoints that may end under them, for a request
-	// that was quarantined while its first stage was made.
-	ginkgo.It("has no further stage begun", func() {
-		wld := newWorld(1)
-		for _, ep := range wld.makers {
+	// Guards against stage work, which may crash its endpoints, for a request that was quarantined
+	// while its first stage ran.
+	ginkgo.It("starts no further stage", func() {
+		tbd := newTestbed(1)
+		for _, ep := range tbd.stages {
 			ep.DelayedTakes = 300 * time.Millisecond
 			ep.Fault(fake.Delayed)
 		}
-		came := func() int { return len(wld.makers[0].Came()) + len(wld.makers[1].Came()) }
+		came := func() int { return len(tbd.stages[0].Came()) + len(tbd.stages[1].Came()) }
 		before := came()
-		answer := make(chan got, 1)
+		answer := make(chan response, 1)
 		go func() {
-			answer <- wld.send(0, ask{path: staged, body: deadly, header: map[string]string{fake.HeaderPieces: "1,1", fake.HeaderPieceKey: "pk"}})
+			answer <- tbd.send(0, request{path: stagedPath, body: crashBody, header: map[string]string{fake.HeaderPieces: "1,1", fake.HeaderPieceKey: "pk"}})
 		}()
-		eventually(came, soon).Should(gomega.BeNumerically(">", before))
+		eventually(came, pollTimeout).Should(gomega.BeNumerically(">", before))
 		for i := range 3 {
-			wld.nodes[0].ctl.RecordCrash(poison.FingerprintOf(host, staged, "corella", []byte(deadly)), ident.Process(fmt.Sprintf("i-%d", i)))
+			tbd.nodes[0].ctl.RecordCrash(poison.FingerprintOf(host, stagedPath, "corella", []byte(crashBody)), ident.Process(fmt.Sprintf("i-%d", i)))
 		}
-		var ans got
-		eventually(answer, soon).Should(gomega.Receive(&ans))
-		expect(ans.body).To(gomega.ContainSubstring(`"quarantined"`))
-		for _, call := range slices.Concat(wld.makers[0].Calls(), wld.makers[1].Calls()) {
+		var rsp response
+		eventually(answer, pollTimeout).Should(gomega.Receive(&rsp))
+		expect(rsp.body).To(gomega.ContainSubstring(`"quarantined"`))
+		for _, call := range slices.Concat(tbd.stages[0].Calls(), tbd.stages[1].Calls()) {
 			expect(call).To(gomega.HaveEach(gomega.HaveSuffix("/0/0")))
 		}
-		eventually(func() int { return held(wld.makers) }, soon).Should(gomega.BeZero())
+		eventually(func() int { return resultCount(tbd.stages) }, pollTimeout).Should(gomega.BeZero())
 	})
 
-	// Guards against a request that all instances let in at once when its quarantine is over.
-	ginkgo.It("is let in once when its quarantine is over, and refused for longer then", func() {
-		wld := newWorld(4)
-		crs := wld.endsEngines(4)
-		for _, ep := range wld.engines {
+	// Guards against a request that every instance admits when its quarantine is over.
+	ginkgo.It("is admitted for one trial after its quarantine and then refused for longer", func() {
+		tbd := newTestbed(4)
+		crt := tbd.crashEngines(4)
+		for _, ep := range tbd.engines {
 			ep.Takes = 600 * time.Millisecond
 		}
-		wld.endedBefore(11 * clock.Minute)
-		first := make(chan got, 1)
-		go func() { first <- wld.send(0, ask{path: "/stream-once/plan", body: deadly}) }()
+		tbd.spreadCrashes(11 * clock.Minute)
+		first := make(chan response, 1)
+		go func() { first <- tbd.send(0, request{path: "/stream-once/plan", body: crashBody}) }()
 		time.Sleep(300 * time.Millisecond)
 		for range 3 {
-			for i := range wld.nodes {
-				expect(wld.send(i, ask{path: "/stream-once/plan", body: deadly}).body).To(gomega.ContainSubstring(`"quarantined"`), "instance %d", i)
+			for i := range tbd.nodes {
+				expect(tbd.send(i, request{path: "/stream-once/plan", body: crashBody}).body).To(gomega.ContainSubstring(`"quarantined"`), "instance %d", i)
 			}
 		}
 		expect((<-first).body).NotTo(gomega.ContainSubstring(`"quarantined"`))
-		time.Sleep(2 * backAfterEnd)
-		for i := range wld.nodes {
-			expect(wld.send(i, ask{path: "/stream-once/plan", body: deadly}).body).To(gomega.ContainSubstring(`"quarantined"`), "instance %d", i)
+		time.Sleep(2 * restartDelay)
+		for i := range tbd.nodes {
+			expect(tbd.send(i, request{path: "/stream-once/plan", body: crashBody}).body).To(gomega.ContainSubstring(`"quarantined"`), "instance %d", i)
 		}
-		expect(crs.count()).To(equal(1))
+		expect(crt.arrivalCount()).To(equal(1))
 	})
 
-	// Guards against a request that stays refused although what it ended was mended meanwhile, or
-	// since nothing could be tried.
-	ginkgo.It("is cleared when it runs after its quarantine, and tried again when nothing ran", func() {
-		wld := newWorld(2)
-		wld.endedBefore(11 * clock.Minute)
-		fault(wld.engines, fake.Shed, fake.Shed, fake.Shed, fake.Shed)
-		expect(wld.send(0, ask{path: "/stream-once/plan", body: deadly}).body).NotTo(gomega.ContainSubstring(`"quarantined"`))
-		for _, ep := range wld.engines {
+	// Guards against a request that stays refused although the endpoints were repaired meanwhile, or
+	// because its trial did not run.
+	ginkgo.It("is cleared when it runs after its quarantine and retried when the trial did not run", func() {
+		tbd := newTestbed(2)
+		tbd.spreadCrashes(11 * clock.Minute)
+		injectFaults(tbd.engines, fake.Shed, fake.Shed, fake.Shed, fake.Shed)
+		expect(tbd.send(0, request{path: "/stream-once/plan", body: crashBody}).body).NotTo(gomega.ContainSubstring(`"quarantined"`))
+		for _, ep := range tbd.engines {
 			ep.Mend()
 		}
 		time.Sleep(300 * time.Millisecond)
 		for range 3 {
-			for i := range wld.nodes {
-				expect(wld.send(i, ask{path: "/stream-once/plan", body: deadly}).status).To(equal(http.StatusOK), "instance %d", i)
+			for i := range tbd.nodes {
+				expect(tbd.send(i, request{path: "/stream-once/plan", body: crashBody}).status).To(equal(http.StatusOK), "instance %d", i)
 				time.Sleep(100 * time.Millisecond)
 			}
 		}
 	})
 })
 
-// endedBefore has all instances know of three ends under the deadly request, so long ago.
-func (wld *world) endedBefore(ago clock.Milli) {
-	mrk := poison.FingerprintOf(host, "/stream-once/plan", "corella", []byte(deadly))
+// spreadCrashes gives all instances facts about three past crashes under the request with
+// crashBody, of a given age.
+func (tbd *testbed) spreadCrashes(ago clock.Milli) {
+	fpr := poison.FingerprintOf(host, "/stream-once/plan", "corella", []byte(crashBody))
 	var facts []gossip.Fact
 	for i := range 3 {
 		facts = append(facts, gossip.Fact{
-			Kind: gossip.EndedUnder, Key: poison.Key(mrk, ident.Process(fmt.Sprintf("before-%d", i))), Value: "127.0.0.1:1", Version: 1, Age: ago,
+			Kind: gossip.EndedUnder, Key: poison.Key(fpr, ident.Process(fmt.Sprintf("before-%d", i))), Value: "127.0.0.1:1", Version: 1, Age: ago,
 		})
 	}
-	for _, nod := range wld.nodes {
-		nod.ctl.Handle(context.Background(), peer.Message{Kind: peer.PushFacts, From: wld.nodes[0].ctl.Self(), To: nod.ctl.Self(), Facts: facts})
-		eventually(func() bool { return nod.ctl.View().Suspects().OnTrial(mrk) }, soon).Should(gomega.BeTrue())
+	for _, nod := range tbd.nodes {
+		nod.ctl.Handle(context.Background(), peer.Message{Kind: peer.PushFacts, From: tbd.nodes[0].ctl.Self(), To: nod.ctl.Self(), Facts: facts})
+		eventually(func() bool { return nod.ctl.View().Suspects().OnTrial(fpr) }, pollTimeout).Should(gomega.BeTrue())
 	}
 }
--- a/internal/node/requests_test.go
+++ b/internal/node/requests_test.go
@@ -16,20 +16,19 @@
 	"amaranthvalve/platform/fake"
 )
 
-// startPlaces is how many requests an instance has at a time at an endpoint that it knows
-// nothing of yet.
-const startPlaces = 4
+// initialSlots is the number of slots that an instance uses at an endpoint of unknown capacity.
+const initialSlots = 4
 
 var _ = ginkgo.Describe("a request", func() {
-	ginkgo.It("passes to an endpoint to the letter, with the system's own headers and none of a caller's making", func() {
-		wld := newWorld(1)
-		ans := wld.send(0, ask{path: "/booking/a%2Fb//c?q=1&q=%20", id: "r1", body: "two crews", header: map[string]string{
+	ginkgo.It("is forwarded to an endpoint unchanged, with the system's own headers and none forged by a caller", func() {
+		tbd := newTestbed(1)
+		rsp := tbd.send(0, request{path: "/booking/a%2Fb//c?q=1&q=%20", id: "r1", body: "two crews", header: map[string]string{
 			fake.HeaderTenant: "shiretoko", fake.HeaderTarget: "other", fake.HeaderHold: "h",
 			fake.HeaderKvFrom: "x", "Connection": "X-Mine", "X-Mine": "1", "X-Other": "kept",
 		}})
-		expect(ans.status).To(equal(http.StatusOK))
-		expect(ans.header.Get(fake.HeaderSignature)).To(equal("sig-r1"))
-		ran := runs(wld.plain)
+		expect(rsp.status).To(equal(http.StatusOK))
+		expect(rsp.header.Get(fake.HeaderSignature)).To(equal("sig-r1"))
+		ran := runs(tbd.plain)
 		expect(ran).To(gomega.HaveLen(1))
 		expect(ran[0].Target).To(equal("/booking/a%2Fb//c?q=1&q=%20"))
 		expect(ran[0].Method + ran[0].Body + ran[0].ID).To(equal("POST" + "two crews" + "r1"))
@@ -42,207 +41,207 @@
 		}
 	})
 
-	ginkgo.It("is refused with a status that says why", func() {
-		wld := newWorld(1)
-		expect(wld.send(0, ask{path: "/nowhere/x"}).status).To(equal(http.StatusNotFound))
-		expect(wld.send(0, ask{path: "/booking/x", header: map[string]string{fake.HeaderAuthorize: fake.Bearer + "wrong"}}).status).To(equal(http.StatusUnauthorized))
-		expect(wld.send(0, ask{path: "/open/x", header: map[string]string{fake.HeaderAuthorize: ""}}).status).To(equal(http.StatusOK))
-		expect(wld.send(0, ask{path: "/booking/x", body: strings.Repeat("x", 10001)}).status).To(equal(http.StatusRequestEntityTooLarge))
-		expect(wld.send(0, ask{path: "/booking/x", header: map[string]string{"X-Long": strings.Repeat("x", 4096)}}).status).To(equal(http.StatusRequestHeaderFieldsTooLarge))
-		expect(wld.send(0, ask{path: "/booking/x", header: map[string]string{fake.HeaderDeadline: "soon"}}).status).To(equal(http.StatusBadRequest))
-		expect(runs(wld.plain)).To(gomega.HaveLen(1))
+	ginkgo.It("is refused with a status that gives the reason", func() {
+		tbd := newTestbed(1)
+		expect(tbd.send(0, request{path: "/nowhere/x"}).status).To(equal(http.StatusNotFound))
+		expect(tbd.send(0, request{path: "/booking/x", header: map[string]string{fake.HeaderAuthorize: fake.Bearer + "wrong"}}).status).To(equal(http.StatusUnauthorized))
+		expect(tbd.send(0, request{path: "/open/x", header: map[string]string{fake.HeaderAuthorize: ""}}).status).To(equal(http.StatusOK))
+		expect(tbd.send(0, request{path: "/booking/x", body: strings.Repeat("x", 10001)}).status).To(equal(http.StatusRequestEntityTooLarge))
+		expect(tbd.send(0, request{path: "/booking/x", header: map[string]string{"X-Long": strings.Repeat("x", 4096)}}).status).To(equal(http.StatusRequestHeaderFieldsTooLarge))
+		expect(tbd.send(0, request{path: "/booking/x", header: map[string]string{fake.HeaderDeadline: "soon"}}).status).To(equal(http.StatusBadRequest))
+		expect(runs(tbd.plain)).To(gomega.HaveLen(1))
 	})
 
-	// An endpoint runs a booking and its connection is cut before the answer. The
-	// caller is told 502: it may have run. No other endpoint gets it, for the
-	// second booking would put two crews into one block.
-	ginkgo.It("that may not be repeated is not, once it may have run", func() {
-		wld := newWorld(1)
+	// An endpoint runs a booking and its connection is cut before the response. The caller gets
+	// status 502, because the booking may have run. No other endpoint gets it: a second booking
+	// would put two crews into one block.
+	ginkgo.It("that may not be repeated is not repeated once it may have run", func() {
+		tbd := newTestbed(1)
 		for _, flt := range []fake.Fault{fake.Cuts, fake.Foreign, fake.Unsigned} {
-			before := len(runs(wld.plain))
-			fault(wld.plain, flt)
-			expect(wld.send(0, ask{path: "/booking/x"}).status).To(equal(http.StatusBadGateway))
-			expect(runs(wld.plain)).To(gomega.HaveLen(before + 1))
-			for _, ep := range wld.plain {
+			before := len(runs(tbd.plain))
+			injectFaults(tbd.plain, flt)
+			expect(tbd.send(0, request{path: "/booking/x"}).status).To(equal(http.StatusBadGateway))
+			expect(runs(tbd.plain)).To(gomega.HaveLen(before + 1))
+			for _, ep := range tbd.plain {
 				ep.Mend()
 			}
 		}
 	})
 
-	// An endpoint is full and gives its word that it ran nothing. The caller gets
-	// the answer of another one, also to a booking. When both refuse, the caller is
-	// told 503 with when to come back, and nothing has run.
-	ginkgo.It("goes to another endpoint when nothing ran", func() {
-		wld := newWorld(1)
-		wld.plain[0].Fault(fake.Shed)
-		expect(wld.send(0, ask{path: "/booking/x"}).status).To(equal(http.StatusOK))
-		expect(wld.send(0, ask{path: "/booking/x"}).status).To(equal(http.StatusOK))
-		expect(runs(wld.plain)).To(gomega.HaveLen(2))
-		fault(wld.plain, fake.Shed)
-		ans := wld.send(0, ask{path: "/booking/x"})
-		expect(ans.status).To(equal(http.StatusServiceUnavailable))
-		expect(ans.header.Get("Retry-After")).NotTo(gomega.BeEmpty())
-		expect(runs(wld.plain)).To(gomega.HaveLen(2))
+	// An endpoint is full and confirms that it ran nothing. The caller gets the response of another
+	// endpoint, also to a booking. If both refuse, the caller gets status 503 with a retry-after
+	// delay, and nothing has run.
+	ginkgo.It("is sent to another endpoint if nothing has run", func() {
+		tbd := newTestbed(1)
+		tbd.plain[0].Fault(fake.Shed)
+		expect(tbd.send(0, request{path: "/booking/x"}).status).To(equal(http.StatusOK))
+		expect(tbd.send(0, request{path: "/booking/x"}).status).To(equal(http.StatusOK))
+		expect(runs(tbd.plain)).To(gomega.HaveLen(2))
+		injectFaults(tbd.plain, fake.Shed)
+		rsp := tbd.send(0, request{path: "/booking/x"})
+		expect(rsp.status).To(equal(http.StatusServiceUnavailable))
+		expect(rsp.header.Get("Retry-After")).NotTo(gomega.BeEmpty())
+		expect(runs(tbd.plain)).To(gomega.HaveLen(2))
 	})
 
-	// A look into a log is a GET without a body; net/http's client would repeat it
-	// by itself. Its endpoint cuts the connection: one repeat, at another endpoint,
-	// and no more than the route allows.
+	// Reading a log is a GET without a body, which the client of net/http would repeat on its own.
+	// Its endpoint cuts the connection: the request is repeated once at another endpoint, and no
+	// more often than the route allows.
 	ginkgo.It("that is idempotent is repeated as often as its route allows", func() {
-		wld := newWorld(1)
-		fault(wld.plain, fake.Cuts)
-		ans := wld.send(0, ask{path: "/log/x", method: http.MethodGet})
-		expect(ans.status).To(equal(http.StatusBadGateway))
-		expect(runs(wld.plain)).To(gomega.HaveLen(2))
-		fault(wld.plain, fake.Fails)
-		ans = wld.send(0, ask{path: "/log/x", method: http.MethodGet})
-		expect(ans.status).To(equal(http.StatusInternalServerError))
-		expect(ans.header.Get(fake.HeaderSignature)).NotTo(gomega.BeEmpty())
-		expect(runs(wld.plain)).To(gomega.HaveLen(4))
+		tbd := newTestbed(1)
+		injectFaults(tbd.plain, fake.Cuts)
+		rsp := tbd.send(0, request{path: "/log/x", method: http.MethodGet})
+		expect(rsp.status).To(equal(http.StatusBadGateway))
+		expect(runs(tbd.plain)).To(gomega.HaveLen(2))
+		injectFaults(tbd.plain, fake.Fails)
+		rsp = tbd.send(0, request{path: "/log/x", method: http.MethodGet})
+		expect(rsp.status).To(equal(http.StatusInternalServerError))
+		expect(rsp.header.Get(fake.HeaderSignature)).NotTo(gomega.BeEmpty())
+		expect(runs(tbd.plain)).To(gomega.HaveLen(4))
 	})
 
-	// One of two endpoints hangs while its health and its entry are good. A look into
-	// the log may be repeated: its caller has the other one's answer as soon as the first
-	// has taken far longer than usual, not when the route's time is up. A booking stays
-	// where it is, for it may have run.
-	ginkgo.It("that may be repeated doesn't wait for an endpoint that hangs", func() {
-		wld := newWorld(1)
+	// One of two endpoints hangs while its health and its entry are good. Reading the log may be
+	// repeated: its caller gets the response of the other endpoint as soon as the first has taken
+	// far longer than usual, not when the request times out. A booking stays where it is, because
+	// it may have run.
+	ginkgo.It("that may be repeated does not wait for an endpoint that hangs", func() {
+		tbd := newTestbed(1)
 		for range 5 {
-			expect(wld.send(0, ask{path: "/log/x", method: http.MethodGet}).status).To(equal(http.StatusOK))
+			expect(tbd.send(0, request{path: "/log/x", method: http.MethodGet}).status).To(equal(http.StatusOK))
 		}
-		wld.plain[0].Fault(fake.Hangs)
-		wld.plain[0].Fault(fake.Hangs)
-		ran := len(wld.plain[0].Runs())
-		// Until one has met it.
-		for sent := 0; sent < 4 || len(wld.plain[0].Runs()) == ran; sent++ {
+		tbd.plain[0].Fault(fake.Hangs)
+		tbd.plain[0].Fault(fake.Hangs)
+		ran := len(tbd.plain[0].Runs())
+		// Send until one request has reached the endpoint that hangs.
+		for sent := 0; sent < 4 || len(tbd.plain[0].Runs()) == ran; sent++ {
 			began := time.Now()
-			expect(wld.send(0, ask{path: "/log/x", method: http.MethodGet}).status).To(equal(http.StatusOK))
+			expect(tbd.send(0, request{path: "/log/x", method: http.MethodGet}).status).To(equal(http.StatusOK))
 			expect(time.Since(began)).To(gomega.BeNumerically("<", 900*time.Millisecond))
 		}
-		for _, ep := range wld.plain {
+		for _, ep := range tbd.plain {
 			ep.Mend()
 		}
-		wld.publish(func(doc *fake.Document) { doc.Timeouts = map[string]int{"booking": 900} })
-		eventually(func() int64 { return wld.nodes[0].ctl.View().Plan().Version() }, soon).Should(equal(int64(wld.version)))
-		fault(wld.plain, fake.Hangs)
-		before := len(runs(wld.plain))
-		expect(wld.send(0, ask{path: "/booking/x"}).status).To(equal(http.StatusGatewayTimeout))
-		expect(len(runs(wld.plain))).To(gomega.BeNumerically("<=", before+1))
+		tbd.publish(func(doc *fake.Document) { doc.Timeouts = map[string]int{"booking": 900} })
+		eventually(func() int64 { return tbd.nodes[0].ctl.View().Plan().Version() }, pollTimeout).Should(equal(int64(tbd.version)))
+		injectFaults(tbd.plain, fake.Hangs)
+		before := len(runs(tbd.plain))
+		expect(tbd.send(0, request{path: "/booking/x"}).status).To(equal(http.StatusGatewayTimeout))
+		expect(len(runs(tbd.plain))).To(gomega.BeNumerically("<=", before+1))
 	})
 
-	// Guards against an answer that is given up for another attempt, which isn't allowed any more.
-	ginkgo.It("that may be repeated is left at its endpoint once its token is gone", func() {
-		wld := newWorld(1)
-		for _, ep := range wld.plain {
+	// Guards against abandoning an attempt for another one that is not allowed any longer.
+	ginkgo.It("that may be repeated is left at its endpoint once its token is revoked", func() {
+		tbd := newTestbed(1)
+		for _, ep := range tbd.plain {
 			ep.Takes, ep.DelayedTakes = 100*time.Millisecond, 2*time.Second
 		}
 		for range 5 {
-			expect(wld.send(0, ask{path: "/log/x", method: http.MethodGet}).status).To(equal(http.StatusOK))
+			expect(tbd.send(0, request{path: "/log/x", method: http.MethodGet}).status).To(equal(http.StatusOK))
 		}
-		fault(wld.plain, fake.Delayed)
-		before := len(runs(wld.plain))
-		done := make(chan got, 1)
+		injectFaults(tbd.plain, fake.Delayed)
+		before := len(runs(tbd.plain))
+		done := make(chan response, 1)
 		go func() {
 			defer ginkgo.GinkgoRecover()
-			done <- wld.send(0, ask{path: "/log/x", method: http.MethodGet})
+			done <- tbd.send(0, request{path: "/log/x", method: http.MethodGet})
 		}()
-		eventually(func() int { return len(runs(wld.plain)) }, soon).Should(equal(before + 1))
-		wld.keys = []string{"another"}
-		wld.publish(nil)
-		var ans got
-		eventually(done, soon).Should(gomega.Receive(&ans))
-		expect(ans.status).To(equal(http.StatusOK), ans.body)
+		eventually(func() int { return len(runs(tbd.plain)) }, pollTimeout).Should(equal(before + 1))
+		tbd.keys = []string{"another"}
+		tbd.publish(nil)
+		var rsp response
+		eventually(done, pollTimeout).Should(gomega.Receive(&rsp))
+		expect(rsp.status).To(equal(http.StatusOK), rsp.body)
 	})
 
-	// Guards against a request that runs after its token was taken away, because it was looked
-	// at before its endpoint had room.
-	ginkgo.It("that waits for an endpoint is not sent once its token is gone", func() {
-		wld := newWorld(1)
-		patient := func(doc *fake.Document) {
+	// Guards against a request that runs after its token was revoked because the token was checked
+	// before an endpoint had a free slot.
+	ginkgo.It("that waits for an endpoint is not sent once its token is revoked", func() {
+		tbd := newTestbed(1)
+		longTimeouts := func(doc *fake.Document) {
 			doc.Timeouts, doc.Goals = map[string]int{"booking": 20000}, map[string]int{"booking": 16000}
 		}
-		wld.publish(patient)
-		known := func() int64 { return wld.nodes[0].ctl.View().Plan().Version() }
-		eventually(known, soon).Should(equal(int64(wld.version)))
-		for _, ep := range wld.plain {
+		tbd.publish(longTimeouts)
+		version := func() int64 { return tbd.nodes[0].ctl.View().Plan().Version() }
+		eventually(version, pollTimeout).Should(equal(int64(tbd.version)))
+		for _, ep := range tbd.plain {
 			ep.Takes = time.Second
 		}
-		book := func(id string) got {
-			return wld.send(0, ask{path: "/booking/x", id: id, header: map[string]string{fake.HeaderDeadline: "20000"}})
+		book := func(id string) response {
+			return tbd.send(0, request{path: "/booking/x", id: id, header: map[string]string{fake.HeaderDeadline: "20000"}})
 		}
 		var wgr sync.WaitGroup
-		for i := range 2 * startPlaces {
+		for i := range 2 * initialSlots {
 			wgr.Go(func() { book(fmt.Sprintf("full-%d", i)) })
 		}
-		eventually(func() int { return len(runs(wld.plain)) }, soon).Should(equal(2 * startPlaces))
-		done := make(chan got, 1)
+		eventually(func() int { return len(runs(tbd.plain)) }, pollTimeout).Should(equal(2 * initialSlots))
+		done := make(chan response, 1)
 		go func() { done <- book("late") }()
-		eventually(func() int64 { return wld.nodes[0].front.InFlight() }, soon).Should(equal(int64(2*startPlaces + 1)))
-		wld.keys = []string{"another"}
-		wld.publish(patient)
-		eventually(known, soon).Should(equal(int64(wld.version)))
-		var ans got
-		eventually(done, soon).Should(gomega.Receive(&ans))
-		expect(ans.status).To(equal(http.StatusServiceUnavailable), ans.body)
-		expect(ans.body).To(gomega.ContainSubstring("token"))
+		eventually(func() int64 { return tbd.nodes[0].front.InFlight() }, pollTimeout).Should(equal(int64(2*initialSlots + 1)))
+		tbd.keys = []string{"another"}
+		tbd.publish(longTimeouts)
+		eventually(version, pollTimeout).Should(equal(int64(tbd.version)))
+		var rsp response
+		eventually(done, pollTimeout).Should(gomega.Receive(&rsp))
+		expect(rsp.status).To(equal(http.StatusServiceUnavailable), rsp.body)
+		expect(rsp.body).To(gomega.ContainSubstring("token"))
 		wgr.Wait()
-		for _, run := range runs(wld.plain) {
+		for _, run := range runs(tbd.plain) {
 			expect(run.ID).NotTo(equal("late"))
 		}
 	})
 
-	// An endpoint dies behind a connection that went silent, and starts again under its name.
-	// A look into the log is under way there. As soon as the new run is listed, the call
-	// is ended and the other endpoint answers; a booking is told as unknown at once.
-	ginkgo.It("is not left with an endpoint that has started again", func() {
-		wld := newWorld(1)
-		for i, ep := range wld.plain {
-			entry := fake.Entry("bookings", wld.servers[ep.ID()].Addr(), false)
+	// An endpoint crashes without closing its connections and restarts under the same name. As soon
+	// as the new process is listed, the calls to the old one are ended: a request that may be
+	// repeated is sent to another endpoint, and a booking is answered with the outcome unknown.
+	ginkgo.It("is not left with an endpoint that has restarted", func() {
+		tbd := newTestbed(1)
+		for i, ep := range tbd.plain {
+			entry := fake.Entry("bookings", tbd.servers[ep.ID()].Addr(), false)
 			entry["born"] = 1790000000000 + i
-			wld.store.PutEndpoint(ep.ID(), entry)
+			tbd.store.PutEndpoint(ep.ID(), entry)
 		}
 		eventually(func() bool {
-			return !slices.ContainsFunc(wld.nodes[0].ctl.View().Endpoints(), func(ep proto.Endpoint) bool {
+			return !slices.ContainsFunc(tbd.nodes[0].ctl.View().Endpoints(), func(ep proto.Endpoint) bool {
 				return ep.Pool == "bookings" && ep.ID.StartedAt() == 0
 			})
-		}, soon).Should(gomega.BeTrue())
-		fault(wld.plain, fake.Hangs)
-		done := make(chan got, 1)
+		}, pollTimeout).Should(gomega.BeTrue())
+		injectFaults(tbd.plain, fake.Hangs)
+		done := make(chan response, 1)
 		go func() {
 			defer ginkgo.GinkgoRecover()
-			done <- wld.send(0, ask{path: "/booking/x"})
+			done <- tbd.send(0, request{path: "/booking/x"})
 		}()
-		eventually(func() int { return len(runs(wld.plain)) }, soon).Should(equal(1))
-		for _, ep := range wld.plain {
-			entry := fake.Entry("bookings", wld.servers[ep.ID()].Addr(), false)
+		eventually(func() int { return len(runs(tbd.plain)) }, pollTimeout).Should(equal(1))
+		for _, ep := range tbd.plain {
+			entry := fake.Entry("bookings", tbd.servers[ep.ID()].Addr(), false)
 			entry["born"] = 1790000009000
-			wld.store.PutEndpoint(ep.ID(), entry)
+			tbd.store.PutEndpoint(ep.ID(), entry)
 		}
-		var ans got
-		eventually(done, 3*time.Second).Should(gomega.Receive(&ans))
-		expect(ans.status).To(equal(http.StatusBadGateway))
+		var rsp response
+		eventually(done, 3*time.Second).Should(gomega.Receive(&rsp))
+		expect(rsp.status).To(equal(http.StatusBadGateway))
 	})
 
-	// A caller leaves while its endpoint works. The endpoint's connection is closed
-	// within half a second, so that its place is free for others.
-	ginkgo.It("whose caller leaves is let go at its endpoint", func() {
-		wld := newWorld(1)
-		fault(wld.plain, fake.Hangs)
+	// A caller disconnects while its endpoint works. The connection to the endpoint is closed within
+	// half a second, so that its slot is free for other requests.
+	ginkgo.It("whose caller disconnects is cancelled at its endpoint", func() {
+		tbd := newTestbed(1)
+		injectFaults(tbd.plain, fake.Hangs)
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		defer cancel()
-		expect(wld.sendCtx(ctx, 0, ask{path: "/booking/x"}).err).To(anything())
-		eventually(func() int { return wld.plain[0].Left() + wld.plain[1].Left() }, 500*time.Millisecond).Should(equal(1))
+		expect(tbd.sendCtx(ctx, 0, request{path: "/booking/x"}).err).To(anything())
+		eventually(func() int { return tbd.plain[0].Left() + tbd.plain[1].Left() }, 500*time.Millisecond).Should(equal(1))
 	})
 
-	// An endpoint hangs until the route's time is up. The caller gets its final
-	// answer then, 504, for it may have run.
-	ginkgo.It("is answered when its route's time is up", func() {
-		wld := newWorld(1)
-		wld.publish(func(doc *fake.Document) { doc.Timeouts = map[string]int{"booking": 300} })
-		eventually(func() int64 { return wld.nodes[0].ctl.View().Plan().Version() }, soon).Should(equal(int64(wld.version)))
-		fault(wld.plain, fake.Hangs)
+	// An endpoint hangs until the time-out of the route. The caller then gets the final status 504,
+	// because the request may have run.
+	ginkgo.It("is answered at the time-out of its route", func() {
+		tbd := newTestbed(1)
+		tbd.publish(func(doc *fake.Document) { doc.Timeouts = map[string]int{"booking": 300} })
+		eventually(func() int64 { return tbd.nodes[0].ctl.View().Plan().Version() }, pollTimeout).Should(equal(int64(tbd.version)))
+		injectFaults(tbd.plain, fake.Hangs)
 		began := time.Now()
-		expect(wld.send(0, ask{path: "/booking/x"}).status).To(equal(http.StatusGatewayTimeout))
+		expect(tbd.send(0, request{path: "/booking/x"}).status).To(equal(http.StatusGatewayTimeout))
 		expect(time.Since(began)).To(gomega.BeNumerically("<", 800*time.Millisecond))
 	})
 })
@@ -250,23 +249,23 @@
 var _ = ginkgo.Describe("a stream", func() {
 	const whole = "id: 1\ndata: token 1\n\nid: 2\ndata: token 2\n\nid: 3\ndata: token 3\n\nid: 4\ndata: token 4\n\n"
 
-	// An engine crashes in the middle of an event. The route may be resumed: the
-	// caller sees every event once, under the head of the first engine.
-	ginkgo.It("goes on at another engine after the last whole event", func() {
-		wld := newWorld(1)
-		first := wld.engines[0]
+	// An engine crashes in the middle of an event. The route allows resumption: the caller gets
+	// every event once, under the response head of the first engine.
+	ginkgo.It("is resumed at another engine after the last complete event", func() {
+		tbd := newTestbed(1)
+		first := tbd.engines[0]
 		first.Fault(fake.CutsMidway)
-		ans := wld.send(0, ask{path: "/stream/x", id: "s1"})
+		rsp := tbd.send(0, request{path: "/stream/x", id: "s1"})
 		if len(first.Runs()) == 0 {
-			// The request went to the other one; this time the first is full.
-			wld.engines[1].Fault(fake.CutsMidway)
+			// The request went to the other engine; this time that one cuts the stream.
+			tbd.engines[1].Fault(fake.CutsMidway)
 			first.Mend()
-			ans = wld.send(0, ask{path: "/stream/x", id: "s1"})
+			rsp = tbd.send(0, request{path: "/stream/x", id: "s1"})
 		}
-		expect(ans.err).NotTo(anything())
-		expect(ans.body).To(equal(whole))
+		expect(rsp.err).NotTo(anything())
+		expect(rsp.body).To(equal(whole))
 		after := ""
-		for _, run := range runs(wld.engines) {
+		for _, run := range runs(tbd.engines) {
 			if last := run.Header.Get(fake.HeaderLastEvent); last != "" {
 				after = last
 			}
@@ -274,68 +273,68 @@
 		expect(after).To(equal("1"))
 	})
 
-	// The same on a route that can't be resumed: the caller's connection breaks, so
-	// that the part that came doesn't look like the whole.
-	ginkgo.It("that can't be resumed breaks off at the caller too", func() {
-		wld := newWorld(1)
-		fault(wld.engines, fake.CutsMidway)
-		ans := wld.send(0, ask{path: "/stream-once/x"})
-		expect(ans.err).To(anything())
-		expect(runs(wld.engines)).To(gomega.HaveLen(1))
+	// The same on a route that cannot be resumed: the connection to the caller is cut, so that the
+	// partial stream does not look complete.
+	ginkgo.It("that cannot be resumed is cut at the caller too", func() {
+		tbd := newTestbed(1)
+		injectFaults(tbd.engines, fake.CutsMidway)
+		rsp := tbd.send(0, request{path: "/stream-once/x"})
+		expect(rsp.err).To(anything())
+		expect(runs(tbd.engines)).To(gomega.HaveLen(1))
 	})
 
-	ginkgo.It("runs with the results of its stages, which are given back", func() {
-		wld := newWorld(2)
-		ans := wld.send(0, ask{path: "/stream-staged/x", id: "st1", header: map[string]string{
+	ginkgo.It("runs with the results of its stages, which are then released", func() {
+		tbd := newTestbed(2)
+		rsp := tbd.send(0, request{path: "/stream-staged/x", id: "st1", header: map[string]string{
 			fake.HeaderPieces: "2,3", fake.HeaderPieceKey: "pk",
 		}})
-		expect(ans.status).To(equal(http.StatusOK), ans.body)
-		expect(ans.body).To(equal(whole))
+		expect(rsp.status).To(equal(http.StatusOK), rsp.body)
+		expect(rsp.body).To(equal(whole))
 		var calls [][]string
-		for _, mkr := range wld.makers {
-			calls = append(calls, mkr.Calls()...)
+		for _, stg := range tbd.stages {
+			calls = append(calls, stg.Calls()...)
 		}
-		pieces := slices.Sorted(slices.Values(slices.Concat(calls...)))
-		expect(pieces).To(equal([]string{"st1/0/0", "st1/0/1", "st1/1/0", "st1/1/1", "st1/1/2"}))
-		inputs := runs(wld.engines)[0].Header.Get(fake.HeaderInputs)
+		items := slices.Sorted(slices.Values(slices.Concat(calls...)))
+		expect(items).To(equal([]string{"st1/0/0", "st1/0/1", "st1/1/0", "st1/1/1", "st1/1/2"}))
+		inputs := runs(tbd.engines)[0].Header.Get(fake.HeaderInputs)
 		expect(strings.Count(inputs, "/1-")).To(equal(3))
 		expect(strings.Index(inputs, "/1-0-") < strings.Index(inputs, "/1-1-")).To(gomega.BeTrue())
-		eventually(func() int { return held(wld.makers) }, soon).Should(equal(0))
+		eventually(func() int { return resultCount(tbd.stages) }, pollTimeout).Should(equal(0))
 	})
 
-	// An engine has fetched what the request takes and reads the prompt for seconds.
-	// The results are given back meanwhile: held until the first event they took the
-	// room that other requests' pieces waited for.
-	ginkgo.It("gives back what its engine has fetched before the first event", func() {
-		wld := newWorld(2)
-		fault(wld.engines, fake.Hangs)
+	// An engine has fetched the inputs of the request and processes the prompt for seconds. The
+	// results are released meanwhile: kept until the first event, they would take the storage
+	// that items of other requests wait for.
+	ginkgo.It("releases the results that its engine has fetched before the first event", func() {
+		tbd := newTestbed(2)
+		injectFaults(tbd.engines, fake.Hangs)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go func() {
 			defer ginkgo.GinkgoRecover()
-			wld.sendCtx(ctx, 0, ask{path: "/stream-staged/x", header: map[string]string{
+			tbd.sendCtx(ctx, 0, request{path: "/stream-staged/x", header: map[string]string{
 				fake.HeaderPieces: "2,3", fake.HeaderPieceKey: "pk",
 			}})
 		}()
-		eventually(func() int { return len(runs(wld.engines)) }, soon).Should(equal(1))
-		eventually(func() int { return held(wld.makers) }, time.Second).Should(equal(0))
-		expect(wld.engines[0].Left()+wld.engines[1].Left()).To(equal(0), "the engine still works")
+		eventually(func() int { return len(runs(tbd.engines)) }, pollTimeout).Should(equal(1))
+		eventually(func() int { return resultCount(tbd.stages) }, time.Second).Should(equal(0))
+		expect(tbd.engines[0].Left()+tbd.engines[1].Left()).To(equal(0), "the engine still runs the request")
 	})
 
-	// One instance gathers the pieces of a pool that has work for seconds. A caller with
-	// less time comes to the other, which has sent no order yet and so was never told
-	// of the queue. It is refused at once, not when its time is up.
-	ginkgo.It("is refused at once when the queue at another instance is too long for it", func() {
-		wld := newWorld(2)
-		for _, mkr := range wld.makers {
-			mkr.Takes = 300 * time.Millisecond
+	// One instance coordinates a pool whose queue is seconds long. A caller with less time sends its
+	// request to the other instance, which has sent no order yet and so has no estimate of the
+	// queue. The request is refused at once, not at its deadline.
+	ginkgo.It("is refused at once if the queue at the coordinator is too long for it", func() {
+		tbd := newTestbed(2)
+		for _, stg := range tbd.stages {
+			stg.Takes = 300 * time.Millisecond
 		}
-		home := 0
-		if wld.nodes[0].ctl.View().Coordinators("rosters")[0] != wld.nodes[0].ctl.Self() {
-			home = 1
+		crd := 0
+		if tbd.nodes[0].ctl.View().Coordinators("rosters")[0] != tbd.nodes[0].ctl.Self() {
+			crd = 1
 		}
-		staged := func(ctx context.Context, node int, left string) got {
-			return wld.sendCtx(ctx, node, ask{path: "/stream-staged/x", header: map[string]string{
+		staged := func(ctx context.Context, node int, left string) response {
+			return tbd.sendCtx(ctx, node, request{path: "/stream-staged/x", header: map[string]string{
 				fake.HeaderPieces: "4,1", fake.HeaderPieceKey: "pk", fake.HeaderDeadline: left,
 			}})
 		}
@@ -344,146 +343,145 @@
 		for range 40 {
 			go func() {
 				defer ginkgo.GinkgoRecover()
-				staged(ctx, home, "20000")
+				staged(ctx, crd, "20000")
 			}()
 		}
-		eventually(func() int { return len(wld.makers[0].Calls()) + len(wld.makers[1].Calls()) }, soon).Should(gomega.BeNumerically(">=", 2))
+		eventually(func() int { return len(tbd.stages[0].Calls()) + len(tbd.stages[1].Calls()) }, pollTimeout).Should(gomega.BeNumerically(">=", 2))
 		began := time.Now()
-		ans := staged(context.Background(), 1-home, "1500")
-		expect(ans.status).To(equal(http.StatusServiceUnavailable))
-		expect(ans.header.Get("Retry-After")).NotTo(gomega.BeEmpty())
+		rsp := staged(context.Background(), 1-crd, "1500")
+		expect(rsp.status).To(equal(http.StatusServiceUnavailable))
+		expect(rsp.header.Get("Retry-After")).NotTo(gomega.BeEmpty())
 		expect(time.Since(began)).To(gomega.BeNumerically("<", 500*time.Millisecond))
 	})
 
-	// A stage's call is under way for some hundred milliseconds; its maker fetched the results
-	// that it takes in the first moment. They are given back while it works.
-	ginkgo.It("gives back what a stage has fetched while its call is under way", func() {
-		wld := newWorld(2)
-		for _, mkr := range wld.makers {
-			mkr.Takes = 300 * time.Millisecond
+	// A batch of a stage takes some hundred milliseconds; its endpoint fetches the input results at
+	// the start. They are released while the batch runs.
+	ginkgo.It("releases the results that a stage has fetched while its batch runs", func() {
+		tbd := newTestbed(2)
+		for _, stg := range tbd.stages {
+			stg.Takes = 300 * time.Millisecond
 		}
-		done := make(chan got, 1)
+		done := make(chan response, 1)
 		go func() {
 			defer ginkgo.GinkgoRecover()
-			done <- wld.send(0, ask{path: "/stream-staged/x", id: "early", header: map[string]string{
+			done <- tbd.send(0, request{path: "/stream-staged/x", id: "early", header: map[string]string{
 				fake.HeaderPieces: "1,1", fake.HeaderPieceKey: "pk",
 			}})
 		}()
-		eventually(func() int { return held(wld.makers) }, soon).Should(equal(1))
-		eventually(func() int { return held(wld.makers) }, soon).Should(equal(0))
-		expect(len(wld.makers[0].Calls()) + len(wld.makers[1].Calls())).To(equal(1))
-		var ans got
-		eventually(done, soon).Should(gomega.Receive(&ans))
-		expect(ans.status).To(equal(http.StatusOK))
+		eventually(func() int { return resultCount(tbd.stages) }, pollTimeout).Should(equal(1))
+		eventually(func() int { return resultCount(tbd.stages) }, pollTimeout).Should(equal(0))
+		expect(len(tbd.stages[0].Calls()) + len(tbd.stages[1].Calls())).To(equal(1))
+		var rsp response
+		eventually(done, pollTimeout).Should(gomega.Receive(&rsp))
+		expect(rsp.status).To(equal(http.StatusOK))
 	})
 
-	// A maker dies with the results of a first stage; whoever is to take them is told
-	// that they are gone. The stage is made again and the request is served, where it
-	// was refused. A second loss refuses it.
-	ginkgo.It("whose stage's results are lost has them made again, once", func() {
-		wld := newWorld(2)
-		staged := func() got {
-			return wld.send(0, ask{path: "/stream-staged/x", header: map[string]string{
+	// A stage endpoint crashes with the results of a first stage, and the next stage is answered
+	// that its inputs are lost. The stage is recomputed and the request is served instead of
+	// refused. A second loss leads to a refusal.
+	ginkgo.It("whose stage results are lost has them recomputed once", func() {
+		tbd := newTestbed(2)
+		staged := func() response {
+			return tbd.send(0, request{path: "/stream-staged/x", header: map[string]string{
 				fake.HeaderPieces: "1,1", fake.HeaderPieceKey: "pk",
 			}})
 		}
 		lose := func(times int) {
-			for _, mkr := range wld.makers {
-				mkr.LoseInputs(times)
+			for _, stg := range tbd.stages {
+				stg.LoseInputs(times)
 			}
 		}
 		lose(1)
 		expect(staged().status).To(equal(http.StatusOK))
 		lose(4)
-		ans := staged()
-		expect(ans.status).To(equal(http.StatusServiceUnavailable))
-		expect(ans.header.Get("Retry-After")).NotTo(gomega.BeEmpty())
-		eventually(func() int { return held(wld.makers) }, soon).Should(equal(0))
+		rsp := staged()
+		expect(rsp.status).To(equal(http.StatusServiceUnavailable))
+		expect(rsp.header.Get("Retry-After")).NotTo(gomega.BeEmpty())
+		eventually(func() int { return resultCount(tbd.stages) }, pollTimeout).Should(equal(0))
 	})
 
-	// The caller leaves while the stages are made. What was made is given back, and
-	// no engine gets the request.
-	ginkgo.It("whose caller leaves gives back what was made for it", func() {
-		wld := newWorld(2)
-		for _, mkr := range wld.makers {
-			mkr.Takes = 200 * time.Millisecond
+	// The caller disconnects while the stages run. Their results are released, and no engine gets
+	// the request.
+	ginkgo.It("whose caller disconnects releases the results of its stages", func() {
+		tbd := newTestbed(2)
+		for _, stg := range tbd.stages {
+			stg.Takes = 200 * time.Millisecond
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 		defer cancel()
-		wld.sendCtx(ctx, 1, ask{path: "/stream-staged/x", header: map[string]string{
+		tbd.sendCtx(ctx, 1, request{path: "/stream-staged/x", header: map[string]string{
 			fake.HeaderPieces: "1,1", fake.HeaderPieceKey: "pk",
 		}})
-		eventually(func() int { return len(wld.makers[0].Calls()) + len(wld.makers[1].Calls()) }, soon).Should(gomega.BeNumerically(">=", 1))
-		eventually(func() int { return held(wld.makers) }, soon).Should(equal(0))
-		expect(runs(wld.engines)).To(gomega.BeEmpty())
+		eventually(func() int { return len(tbd.stages[0].Calls()) + len(tbd.stages[1].Calls()) }, pollTimeout).Should(gomega.BeNumerically(">=", 1))
+		eventually(func() int { return resultCount(tbd.stages) }, pollTimeout).Should(equal(0))
+		expect(runs(tbd.engines)).To(gomega.BeEmpty())
 	})
 
-	// Guards against results that take room at their maker when nobody wants them any more.
-	ginkgo.It("whose caller leaves between two stages gives back what was made for it", func() {
-		wld := newWorld(2)
-		wld.store.RemoveEndpoint(wld.makers[1].ID())
-		for _, nod := range wld.nodes {
+	// Guards against results that take storage at their endpoint after their request has ended.
+	ginkgo.It("whose caller disconnects between two stages releases the results of the first", func() {
+		tbd := newTestbed(2)
+		tbd.store.RemoveEndpoint(tbd.stages[1].ID())
+		for _, nod := range tbd.nodes {
 			eventually(func() bool {
-				return slices.ContainsFunc(nod.ctl.View().Endpoints(), func(ep proto.Endpoint) bool { return ep.ID.Name() == wld.makers[1].ID() })
-			}, soon).Should(gomega.BeFalse())
+				return slices.ContainsFunc(nod.ctl.View().Endpoints(), func(ep proto.Endpoint) bool { return ep.ID.Name() == tbd.stages[1].ID() })
+			}, pollTimeout).Should(gomega.BeFalse())
 		}
-		// The first stage is made, the second one is refused until its time is up.
-		mkr := wld.makers[0]
-		mkr.Fault(fake.None)
+		// The first stage runs; the second one is refused until its deadline.
+		stg := tbd.stages[0]
+		stg.Fault(fake.None)
 		for range 1000 {
-			mkr.Fault(fake.Shed)
+			stg.Fault(fake.Shed)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		done := make(chan got, 1)
+		done := make(chan response, 1)
 		go func() {
-			done <- wld.sendCtx(ctx, 1, ask{path: "/stream-staged/x", header: map[string]string{
+			done <- tbd.sendCtx(ctx, 1, request{path: "/stream-staged/x", header: map[string]string{
 				fake.HeaderPieces: "1,1", fake.HeaderPieceKey: "pk",
 			}})
 		}()
-		eventually(mkr.Held, soon).Should(equal(1))
-		expect(mkr.Calls()).To(gomega.HaveLen(1))
+		eventually(stg.Held, pollTimeout).Should(equal(1))
+		expect(stg.Calls()).To(gomega.HaveLen(1))
 		cancel()
-		eventually(done, soon).Should(gomega.Receive())
-		eventually(mkr.Held, soon).Should(equal(0))
-		expect(mkr.Calls()).To(gomega.HaveLen(1))
-		expect(runs(wld.engines)).To(gomega.BeEmpty())
+		eventually(done, pollTimeout).Should(gomega.Receive())
+		eventually(stg.Held, pollTimeout).Should(equal(0))
+		expect(stg.Calls()).To(gomega.HaveLen(1))
+		expect(runs(tbd.engines)).To(gomega.BeEmpty())
 	})
 
-	// The instance that gathers a pool's pieces dies without a word. Requests at the
-	// other one are served all the same.
-	ginkgo.It("outlives the instance that gathers its pieces", func() {
-		wld := newWorld(2)
+	// The coordinator of a pool crashes. Requests at the other instance are served nevertheless.
+	ginkgo.It("survives a crash of the coordinator that batches its items", func() {
+		tbd := newTestbed(2)
 		dead := 0
-		if wld.nodes[0].ctl.View().Coordinators("rosters")[0] != wld.nodes[0].ctl.Self() {
+		if tbd.nodes[0].ctl.View().Coordinators("rosters")[0] != tbd.nodes[0].ctl.Self() {
 			dead = 1
 		}
-		wld.nodes[dead].Kill()
-		ans := wld.send(1-dead, ask{path: "/stream-staged/x", header: map[string]string{
+		tbd.nodes[dead].Kill()
+		rsp := tbd.send(1-dead, request{path: "/stream-staged/x", header: map[string]string{
 			fake.HeaderPieces: "1,1", fake.HeaderPieceKey: "pk",
 		}})
-		expect(ans.body).To(equal(whole))
+		expect(rsp.body).To(equal(whole))
 	})
 
-	// One instance places the prompts of all and dies. Others ask it for a moment until they
-	// know; each request waits for its word for a fraction of the time of a prompt and is
-	// then placed by the instance that has it.
-	ginkgo.It("outlives the instance that places its prompt", func() {
-		wld := newWorld(3)
-		placer := wld.nodes[0].ctl.View().Coordinators("engines")[0]
-		dead := slices.IndexFunc(wld.nodes, func(nod *Node) bool { return nod.ctl.Self() == placer })
+	// The coordinator that places all prompts crashes. The other instances query it until they
+	// detect the crash: each request waits for the answer for a fraction of its prompt time and is
+	// then placed by its own instance.
+	ginkgo.It("survives a crash of the coordinator that places its prompt", func() {
+		tbd := newTestbed(3)
+		coordinator := tbd.nodes[0].ctl.View().Coordinators("engines")[0]
+		dead := slices.IndexFunc(tbd.nodes, func(nod *Node) bool { return nod.ctl.Self() == coordinator })
 		expect(dead).To(gomega.BeNumerically(">=", 0))
-		send := func() (got, time.Duration) {
+		send := func() (response, time.Duration) {
 			began := time.Now()
-			ans := wld.send((dead+1)%3, ask{path: "/stream/x", header: map[string]string{fake.HeaderPrefix: "a1:100,b2:50", fake.HeaderTokens: "150,8"}})
-			return ans, time.Since(began)
+			rsp := tbd.send((dead+1)%3, request{path: "/stream/x", header: map[string]string{fake.HeaderPrefix: "a1:100,b2:50", fake.HeaderTokens: "150,8"}})
+			return rsp, time.Since(began)
 		}
 		_, usual := send()
-		wld.nodes[dead].Kill()
+		tbd.nodes[dead].Kill()
 		for range 5 {
-			ans, took := send()
-			expect(ans.status).To(equal(http.StatusOK))
-			expect(ans.body).To(equal(whole))
+			rsp, took := send()
+			expect(rsp.status).To(equal(http.StatusOK))
+			expect(rsp.body).To(equal(whole))
 			expect(took).To(gomega.BeNumerically("<", usual+600*time.Millisecond))
 		}
 	})
--- a/internal/node/smuggle_test.go
+++ b/internal/node/smuggling_test.go
@@ -15,21 +15,21 @@
 	"amaranthvalve/platform/fake"
 )
 
-// rawCaller writes requests byte by byte, as a faulty or hostile caller does.
+// rawCaller writes requests as raw text, like a faulty or hostile caller.
 type rawCaller struct {
 	con net.Conn
 	rdr *bufio.Reader
 }
 
-func (wld *world) dialRaw() *rawCaller {
-	con, err := net.Dial("tcp", wld.nodes[0].set.CallerAddr())
+func (tbd *testbed) dialRaw() *rawCaller {
+	con, err := net.Dial("tcp", tbd.nodes[0].set.CallerAddr())
 	expect(err).NotTo(anything())
 	ginkgo.DeferCleanup(func() { _ = con.Close() })
 	_ = con.SetDeadline(time.Now().Add(5 * time.Second))
 	return &rawCaller{con: con, rdr: bufio.NewReader(con)}
 }
 
-// rawHead gives a request's head up to its framing.
+// rawHead returns the head of a request with the given framing headers.
 func rawHead(id string, framing ...string) string {
 	lines := []string{
 		"POST /booking/x HTTP/1.1", "Host: " + host, fake.HeaderRequestID + ": " + id,
@@ -38,7 +38,7 @@
 	return strings.Join(append(lines, framing...), "\r\n") + "\r\n\r\n"
 }
 
-// send writes a text and reads one answer; 0 for a connection that ended instead.
+// send writes a text and reads one response; status is 0 if the connection was closed instead.
 func (raw *rawCaller) send(text string) (status int, closes bool) {
 	_, err := io.WriteString(raw.con, text)
 	expect(err).NotTo(anything())
@@ -51,31 +51,31 @@
 	return res.StatusCode, res.Close
 }
 
-// ended tells whether nothing more comes and the connection has ended.
-func (raw *rawCaller) ended() bool {
+// closed reports whether the connection has been closed with nothing left to read.
+func (raw *rawCaller) closed() bool {
 	_, err := raw.rdr.ReadByte()
 	return err != nil
 }
 
-var _ = ginkgo.Describe("a request's end", func() {
-	// Guards against a body that is read on, and later runs, when its request's time is up.
-	ginkgo.It("that doesn't come in the request's time is not waited for", func() {
-		wld := newWorld(1)
-		raw := wld.dialRaw()
+var _ = ginkgo.Describe("a request body", func() {
+	// Guards against a body that is still read, and a request that still runs, after its deadline.
+	ginkgo.It("that does not arrive before the deadline is not waited for", func() {
+		tbd := newTestbed(1)
+		raw := tbd.dialRaw()
 		head := strings.Replace(rawHead("slow", "Content-Length: 10"), fake.HeaderDeadline+": 4000", fake.HeaderDeadline+": 500", 1)
 		began := time.Now()
 		status, closes := raw.send(head + "half ")
 		expect(status).To(equal(http.StatusServiceUnavailable))
 		expect(closes).To(gomega.BeTrue())
 		expect(time.Since(began)).To(gomega.BeNumerically("<", 2*time.Second))
-		expect(raw.ended()).To(gomega.BeTrue())
-		expect(runs(wld.plain)).To(gomega.BeEmpty())
+		expect(raw.closed()).To(gomega.BeTrue())
+		expect(runs(tbd.plain)).To(gomega.BeEmpty())
 	})
 
-	// Guards against connections that end because an earlier request's time is up.
-	ginkgo.It("in time leaves its connection to later requests", func() {
-		wld := newWorld(1)
-		raw := wld.dialRaw()
+	// Guards against connections that are closed at the deadline of an earlier request.
+	ginkgo.It("that arrives in time leaves its connection open for later requests", func() {
+		tbd := newTestbed(1)
+		raw := tbd.dialRaw()
 		head := strings.Replace(rawHead("quick", "Content-Length: 4"), fake.HeaderDeadline+": 4000", fake.HeaderDeadline+": 500", 1)
 		status, _ := raw.send(head + "body")
 		expect(status).To(equal(http.StatusOK))
@@ -84,10 +84,10 @@
 		expect(status).To(equal(http.StatusOK))
 	})
 
-	// A proxy before us reads a body by its length, the server by its chunks. What
-	// the one took for the rest of a body would run as a booking that nobody sent.
-	ginkgo.It("that can be read in two ways is refused, and nothing behind it runs", func() {
-		wld := newWorld(1)
+	// Guards against request smuggling: if a proxy delimits a body by its length and this server by
+	// its chunks, the end of the body would run as a booking that nobody sent.
+	ginkgo.It("with ambiguous framing is refused, and nothing after it runs", func() {
+		tbd := newTestbed(1)
 		inner := rawHead("smuggled", "Content-Length: 0")
 		for i, framing := range [][]string{
 			{fmt.Sprintf("Content-Length: %d", len(inner)+5), "Transfer-Encoding: chunked"},
@@ -96,20 +96,20 @@
 			{"Content-Length: 5", "Content-Length: 6"},
 			{"Transfer-Encoding: chunked, identity"},
 		} {
-			raw := wld.dialRaw()
+			raw := tbd.dialRaw()
 			status, closes := raw.send(rawHead(fmt.Sprintf("outer-%d", i), framing...) + "0\r\n\r\n" + inner)
 			expect(status).To(gomega.BeNumerically(">=", http.StatusBadRequest), "%v", framing)
 			expect(closes).To(gomega.BeTrue(), "%v", framing)
-			expect(raw.ended()).To(gomega.BeTrue(), "%v", framing)
+			expect(raw.closed()).To(gomega.BeTrue(), "%v", framing)
 		}
-		expect(runs(wld.plain)).To(gomega.BeEmpty())
+		expect(runs(tbd.plain)).To(gomega.BeEmpty())
 	})
 
-	// A caller that was served sends a second request on its connection, and that one
-	// has two lengths. That its connection was good before changes nothing.
-	ginkgo.It("is looked at in every request of a connection", func() {
-		wld := newWorld(1)
-		raw := wld.dialRaw()
+	// Guards against checking the framing of only the first request on a connection: a later
+	// request has both framings.
+	ginkgo.It("is checked in every request of a connection", func() {
+		tbd := newTestbed(1)
+		raw := tbd.dialRaw()
 		for i := range 3 {
 			status, closes := raw.send(rawHead(fmt.Sprintf("chunked-%d", i), "Transfer-Encoding: chunked") + "3\r\nabc\r\n0\r\n\r\n")
 			expect(status).To(equal(http.StatusOK))
@@ -117,25 +117,25 @@
 			status, _ = raw.send(rawHead(fmt.Sprintf("sized-%d", i), "Content-Length: 3") + "abc")
 			expect(status).To(equal(http.StatusOK))
 		}
-		// A body that nobody read is no part of the next head.
+		// An unread body is not part of the next head.
 		status, closes := raw.send(strings.Replace(rawHead("denied", "Content-Length: 26"), key, "wrong", 1) + "Content-Length: 5\r\n\r\n12345")
 		expect(status).To(equal(http.StatusUnauthorized))
 		expect(closes).To(gomega.BeFalse())
 		status, _ = raw.send(rawHead("after", "Transfer-Encoding: chunked") + "0\r\n\r\n")
 		expect(status).To(equal(http.StatusOK))
-		before := len(runs(wld.plain))
+		before := len(runs(tbd.plain))
 		status, closes = raw.send(rawHead("both", "Transfer-Encoding: chunked", "Content-Length: 3") + "3\r\nabc\r\n0\r\n\r\n")
 		expect(status).To(equal(http.StatusBadRequest))
 		expect(closes).To(gomega.BeTrue())
-		expect(runs(wld.plain)).To(gomega.HaveLen(before))
+		expect(runs(tbd.plain)).To(gomega.HaveLen(before))
 	})
 
-	// A caller sends its second request before the first one's answer. It is served
-	// too, unless it comes in chunks: its head was read along with the first body, and
-	// whether it names a length as well can't be told.
-	ginkgo.It("is certain for requests that come too soon, or they are refused", func() {
-		wld := newWorld(1)
-		raw := wld.dialRaw()
+	// A caller sends its second request before the response to the first. It is served too unless
+	// its body is chunked: its head was read together with the first body, so it is not known
+	// whether it had a length as well.
+	ginkgo.It("of a pipelined request has certain framing, or the request is refused", func() {
+		tbd := newTestbed(1)
+		raw := tbd.dialRaw()
 		status, _ := raw.send(rawHead("first", "Content-Length: 3") + "abc" + rawHead("second", "Content-Length: 3") + "abc" +
 			rawHead("third", "Transfer-Encoding: chunked") + "0\r\n\r\n")
 		expect(status).To(equal(http.StatusOK))
@@ -144,6 +144,6 @@
 		status, closes := raw.send("")
 		expect(status).To(equal(http.StatusBadRequest))
 		expect(closes).To(gomega.BeTrue())
-		expect(runs(wld.plain)).To(gomega.HaveLen(2))
+		expect(runs(tbd.plain)).To(gomega.HaveLen(2))
 	})
 })
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -9,16 +9,16 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// Why an instance isn't ready, in the words of the operators' page.
+// Reasons why an instance is not ready, as the operators' page lists them.
 const (
-	whyNoDocuments = "no documents are known yet"
-	whyLeaving     = "a planned stop is under way"
-	whyOld         = "the documents here may be old, and another instance knows newer ones"
+	reasonNoDocuments = "no documents are known yet"
+	reasonShutdown    = "a planned shutdown is in progress"
+	reasonStale       = "the documents here may be out of date, and another instance has newer ones"
 )
 
-// showStatus answers `amv status`, on the address of the counters: how the instance
-// stands, in the same shape as an instance that speaks the product's own protocol.
-func (nod *Node) showStatus(wrt http.ResponseWriter, _ *http.Request) {
+// serveStatus answers `amv status` on the metrics address, in the format that instances of
+// the product's own protocol use.
+func (nod *Node) serveStatus(wrt http.ResponseWriter, _ *http.Request) {
 	wire.WriteJSON(wrt, http.StatusOK, nod.status(nod.clk.Now()))
 }
 
@@ -32,11 +32,11 @@
 	pln := vw.Plan()
 	switch {
 	case pln == nil:
-		st.NotReadyReason, st.LogAgeMs = whyNoDocuments, 0
+		st.NotReadyReason, st.LogAgeMs = reasonNoDocuments, 0
 	case vw.Leaving():
-		st.NotReadyReason = whyLeaving
+		st.NotReadyReason = reasonShutdown
 	case !st.Ready:
-		st.NotReadyReason = whyOld
+		st.NotReadyReason = reasonStale
 	}
 	for _, mbr := range vw.Members() {
 		st.Members = append(st.Members, wire.StatusMember{
@@ -53,8 +53,8 @@
 	if pln != nil {
 		st.Services = append(st.Services, wire.StatusService{Service: "all routes", Revision: pln.Version()})
 		for name, pol := range pln.Pools() {
-			if homes := vw.Coordinators(name); pol.Batch() != nil && len(homes) > 0 {
-				st.Coordinators = append(st.Coordinators, wire.StatusCoordinator{Pool: name, Instance: string(homes[0])})
+			if crds := vw.Coordinators(name); pol.Batch() != nil && len(crds) > 0 {
+				st.Coordinators = append(st.Coordinators, wire.StatusCoordinator{Pool: name, Instance: string(crds[0])})
 			}
 		}
 	}
