--- a/cmd/amv/main.go
+++ b/cmd/amv/main.go
@@ -1,4 +1,4 @@
-// Command amv is the operators' and callers' command.
+// Command amv is the command-line client for operators and callers.
 package main
 
 import (
--- a/cmd/amvstand/main.go
+++ b/cmd/amvstand/main.go
@@ -1,4 +1,4 @@
-// Command amvstand runs the stand-ins for tests, and the demo.
+// Command amvstand runs test doubles of the platform and of endpoints, and the demo.
 package main
 
 import (
--- a/internal/shell/amv.go
+++ b/internal/shell/amv.go
@@ -13,14 +13,14 @@
 	Status  statusCmd  `cmd:"" help:"Show how an instance and what it knows of stand. Example: amv status"`
 }
 
-// opsFlags name the instance for operators' commands.
+// opsFlags select the instance for the operators' commands.
 type opsFlags struct {
 	Node    string        `help:"An instance's ops_addr." default:"127.0.0.1:7200" env:"AMV_OPS" placeholder:"ADDR"`
 	JSON    bool          `help:"Write JSON for programs."`
 	Timeout time.Duration `help:"How long to wait in all." default:"90s"`
 }
 
-// callerFlags name instances for callers' commands.
+// callerFlags select the instances for the callers' commands.
 type callerFlags struct {
 	Node    []string      `help:"Instances' caller_addr, to ask first." default:"127.0.0.1:7100" env:"AMV_ENTRY" placeholder:"ADDR"`
 	Zone    string        `help:"The caller's data centre." placeholder:"ZONE"`
@@ -28,7 +28,7 @@
 	Timeout time.Duration `help:"How long to wait in all." default:"60s"`
 }
 
-// RunAmv runs the operators' and callers' command.
+// RunAmv runs amv, the command of operators and callers.
 func RunAmv(args []string, out, err io.Writer) int {
-	return run("amv", "The command of amaranthvalve's operators and callers. Exit status: 0 done, 1 refused or failed, 2 wrong call. A signal ends it; what it has sent may still be done.", &amvCmd{}, args, out, err)
+	return run("amv", "The command of amaranthvalve's operators and callers. Exit status: 0 done, 1 refused or failed, 2 usage error. A signal terminates it; a request that it has sent may still run.", &amvCmd{}, args, out, err)
 }
--- a/internal/shell/call.go
+++ b/internal/shell/call.go
@@ -58,33 +58,33 @@
 		MaxTokens: cmd.MaxTokens, DeadlineMs: clock.FromDuration(cmd.Deadline),
 	}
 	if cmd.Expires == "" && (cmd.Key != "" || cmd.Ticket) {
-		return errors.New("--expires: a key or a ticket needs one, such as 1h")
+		return errors.New("--expires: required with --key and --ticket, such as 1h")
 	}
 	var err error
-	if sub.ExpiresMs, err = expiry(cmd.Expires); err != nil {
+	if sub.ExpiresMs, err = parseExpiry(cmd.Expires); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), cmd.Timeout)
 	defer cancel()
-	take := func(tok wire.Token) {
+	onToken := func(tok wire.Token) {
 		if !cmd.JSON {
 			con.printf("%s", tok.Text)
 		}
 	}
 	cli := caller.New(cmd.Node, cmd.Workspace, cmd.Token, cmd.Zone)
 	if !cmd.Ticket {
-		return cmd.tell(con, cli.Call(ctx, cmd.Service, sub, take))
+		return cmd.report(con, cli.Call(ctx, cmd.Service, sub, onToken))
 	}
 	key, addr, err := cli.Ticket(ctx, cmd.Service)
 	if err != nil {
 		return err
 	}
-	con.complain("ticket: --key %s --node %s\n", key, addr)
+	con.errorf("ticket: --key %s --node %s\n", key, addr)
 	sub.Key, sub.First = key, true
-	return cmd.tell(con, cli.CallAt(ctx, addr, cmd.Service, sub, take))
+	return cmd.report(con, cli.CallAt(ctx, addr, cmd.Service, sub, onToken))
 }
 
-func (cmd *callCmd) tell(con *console, ans wire.Answer) error {
+func (cmd *callCmd) report(con *console, ans wire.Answer) error {
 	done := ans.Outcome == outcm.Done.String()
 	switch {
 	case cmd.JSON:
@@ -93,21 +93,21 @@
 		}
 	case done:
 		con.printf("%s\n", ans.Output)
-		con.complain("outcome %s, reason %s\n", ans.Outcome, ans.Reason)
+		con.errorf("outcome %s, reason %s\n", ans.Outcome, ans.Reason)
 	default:
-		con.complain("outcome %s, reason %s: %s\n", ans.Outcome, ans.Reason, ans.Detail)
+		con.errorf("outcome %s, reason %s: %s\n", ans.Outcome, ans.Reason, ans.Detail)
 		if ans.RetryAfterMs > 0 {
-			con.complain("come back in %d ms\n", ans.RetryAfterMs)
+			con.errorf("retry after %d ms\n", ans.RetryAfterMs)
 		}
 	}
 	if !done {
-		return errSaid
+		return errReported
 	}
 	return nil
 }
 
-// expiry reads a span from now or an instant.
-func expiry(text string) (clock.Milli, error) {
+// parseExpiry parses a duration from now or an instant.
+func parseExpiry(text string) (clock.Milli, error) {
 	if text == "" {
 		return 0, nil
 	}
@@ -116,7 +116,7 @@
 	}
 	at, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return 0, fmt.Errorf("--expires: %q is neither a span such as 1h nor an instant such as 2030-01-02T15:04:05Z", text)
+		return 0, fmt.Errorf("--expires: %q is neither a duration such as 1h nor an instant such as 2030-01-02T15:04:05Z", text)
 	}
 	return clock.Milli(at.UnixMilli()), nil
 }
--- a/internal/shell/docs.go
+++ b/internal/shell/docs.go
@@ -35,21 +35,21 @@
 	return nil
 }
 
-// readDoc reads a document and tells all faults and warnings.
+// readDoc reads a document and prints all faults and warnings.
 func readDoc(con *console, path string) (*svcdoc.Document, []byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, err
 	}
 	if len(text) > svcdoc.MaxBytes {
-		return nil, nil, fmt.Errorf("%s: %d bytes, at most %d are possible", path, len(text), svcdoc.MaxBytes)
+		return nil, nil, fmt.Errorf("%s: document of %d bytes exceeds the limit of %d bytes", path, len(text), svcdoc.MaxBytes)
 	}
 	doc, fts := svcdoc.Parse(text)
 	for _, ft := range fts.All() {
-		con.complain("%s: %s\n", path, ft)
+		con.errorf("%s: %s\n", path, ft)
 	}
 	if doc == nil {
-		return nil, nil, errSaid
+		return nil, nil, errReported
 	}
 	return doc, text, nil
 }
@@ -85,12 +85,12 @@
 	}
 	pub, err := cli.Publish(ctx, doc.Name(), wire.Publish{ID: id, Base: base, Text: string(text), By: cmd.By, WaitMs: clock.FromDuration(cmd.Wait)})
 	if err != nil {
-		return fmt.Errorf("%w; to learn what became of the offer repeat it with --id %s --base %d", err, id, base)
+		return fmt.Errorf("%w; to learn the outcome of the offer, repeat it with --id %s --base %d", err, id, base)
 	}
-	return cmd.tell(con, doc.Name(), id, base, pub)
+	return cmd.report(con, doc.Name(), id, base, pub)
 }
 
-func (cmd *docPublishCmd) tell(con *console, service, id string, base int64, pub wire.Published) error {
+func (cmd *docPublishCmd) report(con *console, service, id string, base int64, pub wire.Published) error {
 	if cmd.JSON {
 		if err := con.json(pub); err != nil {
 			return err
@@ -99,7 +99,7 @@
 		cmd.print(con, service, id, base, pub)
 	}
 	if pub.Verdict != oplog.Accepted.String() || !pub.InForce {
-		return errSaid
+		return errReported
 	}
 	return nil
 }
@@ -107,11 +107,11 @@
 func (cmd *docPublishCmd) print(con *console, service, id string, base int64, pub wire.Published) {
 	switch {
 	case pub.Verdict == oplog.Undecided.String():
-		con.complain("%s: undecided: %s (--id %s --base %d)\n", service, pub.Detail, id, base)
+		con.errorf("%s: undecided: %s (--id %s --base %d)\n", service, pub.Detail, id, base)
 	case pub.Verdict != oplog.Accepted.String():
-		con.complain("%s: %s: %s\n", service, pub.Verdict, pub.Detail)
+		con.errorf("%s: %s: %s\n", service, pub.Verdict, pub.Detail)
 	case !pub.InForce:
-		con.complain("%s: accepted as revision %d, not yet in force at %v\n", service, pub.Revision, pub.Behind)
+		con.errorf("%s: accepted as revision %d, not yet in force at %v\n", service, pub.Revision, pub.Behind)
 	default:
 		con.printf("%s: accepted as revision %d, in force everywhere after %d ms\n", service, pub.Revision, pub.TookMs)
 	}
--- a/internal/shell/explain.go
+++ b/internal/shell/explain.go
@@ -30,7 +30,7 @@
 		lines = append(lines, read...)
 	}
 	if len(lines) == 0 {
-		return fmt.Errorf("no line tells of request %q", cmd.ID)
+		return fmt.Errorf("no log line mentions request %q", cmd.ID)
 	}
 	reqlog.Sort(lines)
 	for _, line := range lines {
--- a/internal/shell/node.go
+++ b/internal/shell/node.go
@@ -16,9 +16,9 @@
 	"amaranthvalve/platform"
 )
 
-// stopAtMost bounds a planned stop: the longest deadline of a document and the
-// longest time that addresses are kept.
-const stopAtMost = 25 * time.Minute
+// maxShutdownTime bounds a planned shutdown: the longest deadline of a document plus the longest
+// entry TTL.
+const maxShutdownTime = 25 * time.Minute
 
 type nodeCmd struct {
 	Config      string `help:"The settings file, see docs/OPERATIONS.md; by default the one that AMARANTHVALVE_BOOT names." env:"AMARANTHVALVE_BOOT" required:"" placeholder:"FILE"`
@@ -29,10 +29,10 @@
 
 const nodeAbout = `The daemon of every entry instance. Example: amvnode --config node.toml
 
-SIGTERM and SIGINT are a planned stop; without dialect = "platform" a second one ends the process at once. SIGHUP reads the settings again with dialect = "platform", and changes nothing without it. What comes while the daemon starts is acted on once it stands.`
+SIGTERM and SIGINT start a planned shutdown; without dialect = "platform" a second one terminates the process at once. SIGHUP reloads the settings with dialect = "platform", and changes nothing without it. Signals that arrive during startup are handled after it.`
 
-// RunNode runs the daemon until SIGTERM or SIGINT, which is a planned stop. SIGHUP has an
-// instance that speaks a dialect read its settings again.
+// RunNode runs the daemon until SIGTERM or SIGINT, which start a planned shutdown. SIGHUP makes an
+// instance that serves a dialect reload its settings.
 func RunNode(args []string, out, err io.Writer, sgs early.Signals) int {
 	return run("amvnode", nodeAbout, &nodeCmd{signals: sgs}, args, out, err)
 }
@@ -40,7 +40,7 @@
 // Run is the command.
 func (cmd *nodeCmd) Run(con *console) error {
 	if !cmd.CheckConfig {
-		// Whoever sends signals sees by it that they are taken.
+		// From this line on signals are handled.
 		log := newLog(con.err, zerolog.LevelInfoValue)
 		log.Info().Str("config", cmd.Config).Msg("starting")
 	}
@@ -58,21 +58,21 @@
 		return err
 	}
 	nod.Start()
-	sig := untilStop(cmd.signals, func() { log.Warn().Msg("the settings are read at the start alone, see docs/OPERATIONS.md") })
-	log.Info().Str("signal", sig.String()).Msg("planned stop")
-	ctx, cancel := context.WithTimeout(context.Background(), stopAtMost)
+	sig := waitForStop(cmd.signals, func() { log.Warn().Msg("the settings are read only at startup, see docs/OPERATIONS.md") })
+	log.Info().Str("signal", sig.String()).Msg("planned shutdown")
+	ctx, cancel := context.WithTimeout(context.Background(), maxShutdownTime)
 	defer cancel()
 	go func() {
 		<-cmd.signals.Stop
-		log.Warn().Msg("second signal: ending at once")
+		log.Warn().Msg("second signal: terminating at once")
 		os.Exit(exitFailed)
 	}()
 	nod.Stop(ctx)
 	return nil
 }
 
-// untilStop waits for a signal to stop; reload is told of each other one.
-func untilStop(sgs early.Signals, reload func()) os.Signal {
+// waitForStop waits for a signal to stop and calls reload for each other signal.
+func waitForStop(sgs early.Signals, reload func()) os.Signal {
 	for {
 		select {
 		case sig := <-sgs.Stop:
@@ -83,17 +83,17 @@
 	}
 }
 
-// readSettings reads the settings and tells all faults at once.
+// readSettings reads the settings and prints all faults.
 func readSettings(con *console, path string) (*conf.Settings, error) {
 	set, fts, err := conf.Read(path)
 	if err != nil {
 		return nil, err
 	}
 	for _, ft := range fts.All() {
-		con.complain("%s: %s\n", path, ft)
+		con.errorf("%s: %s\n", path, ft)
 	}
 	if set == nil {
-		return nil, errSaid
+		return nil, errReported
 	}
 	return set, nil
 }
--- a/internal/shell/routed.go
+++ b/internal/shell/routed.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// memoryShare of what a process may use is where the garbage collector
-	// begins to work harder; the rest is for stacks, sockets and the C library.
-	memoryShare = 0.7
-	// lookEvery is how often the settings file is looked at: it may change
+	// memoryLimitShare is the share of the process's memory limit that is set as the soft limit of
+	// the Go runtime; the rest is for stacks, sockets and the C library.
+	memoryLimitShare = 0.7
+	// watchInterval is the interval at which the settings file is polled, because it may change
 	// without a signal.
-	lookEvery = 2 * time.Second
+	watchInterval = 2 * time.Second
 )
 
-// runRouted runs an instance that speaks a dialect until SIGTERM or SIGINT. Its
-// settings are read again on SIGHUP and when the file has changed.
+// runRouted runs an instance that serves a dialect until SIGTERM or SIGINT. It reloads its settings
+// on SIGHUP and when the file has changed.
 func runRouted(con *console, path string, set *conf.Settings, dia *proto.Dialect, sgs early.Signals) error {
 	lvl, err := zerolog.ParseLevel(set.LogLevel())
 	if err != nil {
@@ -33,8 +33,8 @@
 	}
 	log, _ := zlog.Open(con.out, lvl)
 	zlog.RedirectLibraries(log)
-	if most := set.MemoryLimit(); most > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(most)))
+	if limit := set.MemoryLimit(); limit > 0 {
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(limit)))
 	}
 	nod, err := node.New(set, dia, log)
 	if err != nil {
@@ -42,13 +42,13 @@
 	}
 	nod.Start()
 	wch := &watcher{path: path, log: log, apply: nod.Apply}
-	wch.note()
-	tkr := time.NewTicker(lookEvery)
+	wch.record()
+	tkr := time.NewTicker(watchInterval)
 	defer tkr.Stop()
 	for {
 		select {
 		case sig := <-sgs.Stop:
-			log.Info().Str("signal", sig.String()).Msg("planned stop")
+			log.Info().Str("signal", sig.String()).Msg("planned shutdown")
 			ctx, cancel := context.WithTimeout(context.Background(), set.ShutdownTimeout().Duration())
 			defer cancel()
 			nod.Stop(ctx)
@@ -63,40 +63,39 @@
 	}
 }
 
-// watcher reads the settings again when they have changed.
+// watcher reloads the settings when they have changed.
 type watcher struct {
-	path  string
-	log   zerolog.Logger
-	apply func(set *conf.Settings)
-	text  string
+	path    string
+	log     zerolog.Logger
+	apply   func(set *conf.Settings)
+	content string
 }
 
-// note remembers the file as it is.
-func (wch *watcher) note() {
+// record stores the current content of the file.
+func (wch *watcher) record() {
 	text, err := os.ReadFile(wch.path)
 	if err == nil {
-		wch.text = string(text)
+		wch.content = string(text)
 	}
 }
 
 func (wch *watcher) changed() bool {
 	text, err := os.ReadFile(wch.path)
-	return err == nil && string(text) != wch.text
+	return err == nil && string(text) != wch.content
 }
 
-// reload takes the new settings if they are right, and otherwise goes on with
-// those in force.
+// reload applies the new settings if they are valid and otherwise keeps those in force.
 func (wch *watcher) reload(why string) {
-	wch.note()
+	wch.record()
 	set, fts, err := conf.Read(wch.path)
 	if err != nil || set == nil {
 		evt := wch.log.Error().Err(err)
 		if fts != nil {
 			evt = evt.AnErr("faults", fts.Err())
 		}
-		evt.Str("why", why).Msg("the settings can't be used, the old ones stay")
+		evt.Str("why", why).Msg("invalid settings, keeping those in force")
 		return
 	}
 	wch.apply(set)
-	wch.log.Info().Str("why", why).Msg("settings read again")
+	wch.log.Info().Str("why", why).Msg("settings reloaded")
 }
--- a/internal/shell/run.go
+++ b/internal/shell/run.go
@@ -19,10 +19,10 @@
 	exitUsage  = 2
 )
 
-// errSaid is returned by a command that has already told what went wrong.
-var errSaid = errors.New("said")
+// errReported is returned by a command that has already printed what went wrong.
+var errReported = errors.New("said")
 
-// console is where a command writes.
+// console holds the writers for the output and the messages of a command.
 type console struct {
 	out io.Writer
 	err io.Writer
@@ -32,18 +32,18 @@
 	_, _ = fmt.Fprintf(con.out, format, args...)
 }
 
-func (con *console) complain(format string, args ...any) {
+func (con *console) errorf(format string, args ...any) {
 	_, _ = fmt.Fprintf(con.err, format, args...)
 }
 
-// json writes a value for programs.
+// json writes a value as JSON.
 func (con *console) json(val any) error {
 	enc := json.NewEncoder(con.out)
 	enc.SetIndent("", "  ")
 	return enc.Encode(val)
 }
 
-// run parses arguments for a grammar and runs the command that they name.
+// run parses the arguments by a kong grammar and runs the selected command.
 func run(name, about string, grammar any, args []string, out, err io.Writer) int {
 	con := &console{out: out, err: err}
 	zlog.RedirectLibraries(zerolog.Nop())
@@ -54,7 +54,7 @@
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
 	)
 	if bad != nil {
-		con.complain("%s: %v\n", name, bad)
+		con.errorf("%s: %v\n", name, bad)
 		return exitUsage
 	}
 	kctx, bad := psr.Parse(args)
@@ -62,12 +62,12 @@
 		return exited
 	}
 	if bad != nil {
-		con.complain("%s: %v; see %s --help\n", name, bad, name)
+		con.errorf("%s: %v; see %s --help\n", name, bad, name)
 		return exitUsage
 	}
 	if bad := kctx.Run(con); bad != nil {
-		if !errors.Is(bad, errSaid) {
-			con.complain("%s: %v\n", name, bad)
+		if !errors.Is(bad, errReported) {
+			con.errorf("%s: %v\n", name, bad)
 		}
 		return exitFailed
 	}
--- a/internal/shell/script_test.go
+++ b/internal/shell/script_test.go
@@ -22,7 +22,7 @@
 	"amaranthvalve/pkg/ident"
 )
 
-// TestMain makes the three programs commands of the scripts.
+// TestMain makes the three programs available as commands in the scripts.
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){
 		"amv":      func() { os.Exit(RunAmv(os.Args[1:], os.Stdout, os.Stderr)) },
@@ -31,9 +31,8 @@
 	})
 }
 
-// TestScripts runs the command line as a person would: help, faults of files,
-// exit statuses, and a session with one instance. AMV_UPDATE=1 rewrites what
-// "cmp" compares with.
+// TestScripts runs the command lines in scripts: help, faults in files, exit statuses and a session
+// with one instance. AMV_UPDATE=1 rewrites the expected texts of "cmp".
 func TestScripts(t *testing.T) {
 	zlog.RedirectLibraries(zerolog.Nop())
 	testscript.Run(t, testscript.Params{
@@ -44,8 +43,8 @@
 	})
 }
 
-// startNode starts a platform, a booking service and one instance that stands
-// alone, and tells the script where they are.
+// startNode starts a platform, a booking service and one standalone instance, and sets their
+// addresses in the environment of the script.
 func startNode(env *testscript.Env) error {
 	plt, err := stand.Serve("127.0.0.1:0", stand.NewPlatform(clock.Clock{}, 3*clock.Day, 50).Handler())
 	if err != nil {
@@ -57,8 +56,8 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	go stand.Enlist(ctx, "http://"+plt.Addr(), wire.Instance{ID: "booking-1", Addr: ept.Addr(), Pool: "booking", Zone: "dc1", State: wire.StateLive})
-	// An instance that reads the list before the endpoint stands in it reads it again
-	// a second later; the script would find no endpoint meanwhile.
+	// An instance that reads the list before the endpoint is in it reads it again a second later;
+	// until then the script would find no endpoint.
 	if err := waitListed(ctx, plt.Addr()); err != nil {
 		cancel()
 		return err
--- a/internal/shell/early_test.go
+++ b/internal/shell/signals_test.go
@@ -16,7 +16,7 @@
 	"amaranthvalve/internal/ports"
 )
 
-// output keeps what a process writes.
+// output collects the output of a process.
 type output struct {
 	mtx  sync.Mutex
 	text bytes.Buffer
@@ -34,17 +34,18 @@
 	return out.text.String()
 }
 
-// Guards against a daemon that a signal ends, or that pays no heed to it, while it reads its
-// settings for the first time: these come through a pipe, which tells when they are read.
-func TestSignalsInTheFirstMoments(t *testing.T) {
+// Guards against a daemon that is killed by a signal, or ignores it, while it reads its settings
+// for the first time. The settings come through a named pipe, so that the test knows when they are
+// read.
+func TestSignalsDuringStartup(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "amvnode")
 	if text, err := exec.Command("go", "build", "-o", program, "amaranthvalve/cmd/amvnode").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v: %s", err, text)
 	}
 	for _, tst := range []struct {
-		signal syscall.Signal
-		says   string
-	}{{syscall.SIGHUP, `"why":"signal"`}, {syscall.SIGTERM, `"message":"planned stop"`}} {
+		signal  syscall.Signal
+		wantLog string
+	}{{syscall.SIGHUP, `"why":"signal"`}, {syscall.SIGTERM, `"message":"planned shutdown"`}} {
 		t.Run(tst.signal.String(), func(t *testing.T) {
 			gom := gomega.NewWithT(t)
 			list, err := ports.Free(4)
@@ -58,23 +59,23 @@
 			cmd := exec.Command(program, "--config", path)
 			cmd.Stdout, cmd.Stderr = &out, &out
 			gom.Expect(cmd.Start()).To(gomega.Succeed())
-			ended := make(chan error, 1)
-			go func() { ended <- cmd.Wait() }()
+			exited := make(chan error, 1)
+			go func() { exited <- cmd.Wait() }()
 			defer func() { _ = cmd.Process.Kill() }()
-			// Opened when the daemon opens it for reading.
+			// This blocks until the daemon opens the pipe for reading.
 			pipe, err := os.OpenFile(path, os.O_WRONLY, 0)
 			gom.Expect(err).NotTo(gomega.HaveOccurred())
 			gom.Expect(cmd.Process.Signal(tst.signal)).To(gomega.Succeed())
 			time.Sleep(50 * time.Millisecond)
-			// What is read again is a file.
+			// A reload reads a regular file.
 			gom.Expect(os.WriteFile(path+".file", []byte(settings), 0o600)).To(gomega.Succeed())
 			gom.Expect(os.Rename(path+".file", path)).To(gomega.Succeed())
 			_, err = pipe.WriteString(settings)
 			gom.Expect(err).NotTo(gomega.HaveOccurred())
 			gom.Expect(pipe.Close()).To(gomega.Succeed())
-			gom.Eventually(out.String, 5*time.Second).Should(gomega.ContainSubstring(tst.says))
+			gom.Eventually(out.String, 5*time.Second).Should(gomega.ContainSubstring(tst.wantLog))
 			gom.Expect(cmd.Process.Signal(syscall.SIGTERM)).To(gomega.Succeed())
-			gom.Eventually(ended, 10*time.Second).Should(gomega.Receive(gomega.BeNil()), out.String())
+			gom.Eventually(exited, 10*time.Second).Should(gomega.Receive(gomega.BeNil()), out.String())
 		})
 	}
 }
--- a/internal/shell/stand.go
+++ b/internal/shell/stand.go
@@ -68,11 +68,11 @@
 
 type demoCmd struct{}
 
-const standAbout = `Stand-ins for tests, and the demo. Example: amvstand demo
+const standAbout = `Test doubles of the platform and of endpoints, and the demo. Example: amvstand demo
 
-SIGTERM, SIGINT and SIGHUP end a stand-in.`
+SIGTERM, SIGINT and SIGHUP stop a test double.`
 
-// RunStand runs the stand-ins and the demo.
+// RunStand runs amvstand, which has the test doubles and the demo.
 func RunStand(args []string, out, err io.Writer) int {
 	return run("amvstand", standAbout, &standCmd{}, args, out, err)
 }
@@ -101,9 +101,9 @@
 	})
 }
 
-// serveUntilSignal prints the address that it listens on, for whoever started
-// it on a free port.
-func serveUntilSignal(con *console, addr string, handler http.Handler, meanwhile func(context.Context, string)) error {
+// serveUntilSignal serves until a signal arrives. It prints the address that it listens on, which
+// the caller of the program does not know if the port was chosen by the system.
+func serveUntilSignal(con *console, addr string, handler http.Handler, background func(context.Context, string)) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	defer stop()
 	srv, err := stand.Serve(addr, handler)
@@ -112,8 +112,8 @@
 	}
 	defer srv.Close()
 	con.printf("listening on %s\n", srv.Addr())
-	if meanwhile != nil {
-		go meanwhile(ctx, srv.Addr())
+	if background != nil {
+		go background(ctx, srv.Addr())
 	}
 	<-ctx.Done()
 	return nil
--- a/internal/shell/status.go
+++ b/internal/shell/status.go
@@ -31,7 +31,7 @@
 		ready = "not ready: " + st.NotReadyReason
 	}
 	con.printf("instance %s in %s, %s\n", st.Instance, st.Zone, ready)
-	con.printf("applied offset %d, word of the log %d ms ago, keys remembered %d\n", st.Applied, st.LogAgeMs, st.Keys)
+	con.printf("applied offset %d, last confirmed by the log %d ms ago, keys remembered %d\n", st.Applied, st.LogAgeMs, st.Keys)
 	con.printf("\n%-40s %-8s %-9s %8s %6s\n", "INSTANCE", "ZONE", "STATUS", "APPLIED", "LOAD")
 	for _, mbr := range st.Members {
 		con.printf("%-40s %-8s %-9s %8d %6d\n", mbr.Instance, mbr.Zone, mbr.Status, mbr.Applied, mbr.Load)
@@ -44,18 +44,18 @@
 	for _, ept := range st.Endpoints {
 		con.printf("%-16s %-20s %-22s %6d %6d %10.1f %s\n", ept.Pool, ept.ID, ept.Addr, ept.InFlight, ept.Limit, ept.Latency, ept.State)
 	}
-	printGatherers(con, st.Coordinators)
+	printCoordinators(con, st.Coordinators)
 	printLeases(con, st.Leases)
 	printRefusals(con, st.Refusals)
 }
 
-func printGatherers(con *console, list []wire.StatusCoordinator) {
+func printCoordinators(con *console, list []wire.StatusCoordinator) {
 	if len(list) == 0 {
 		return
 	}
-	con.printf("\n%-16s %s\n", "POOL", "GATHERED AT")
-	for _, gth := range list {
-		con.printf("%-16s %s\n", gth.Pool, gth.Instance)
+	con.printf("\n%-16s %s\n", "POOL", "COORDINATED BY")
+	for _, crd := range list {
+		con.printf("%-16s %s\n", crd.Pool, crd.Instance)
 	}
 }
 
