--- a/internal/shell/call.go
+++ b/internal/shell/call.go
@@ -43,9 +43,9 @@
 	Request   string        `help:"The kind of request; by default the document's first."`
 	Input     string        `help:"The input of the first stage."`
 	Key       string        `help:"The key of a non-idempotent request."`
-	Expires   string        `help:"When the key expires: a span such as 1h, or an instant such as 2030-01-02T15:04:05Z."`
-	Ticket    bool          `help:"In an outage of the log: use a key bound to one instance, and say which before sending. Repeat it with --key and --node."`
-	First     bool          `help:"Vouch that the key was never sent before, so that a refusal can say 'not run'."`
+	Expires   string        `help:"When the key expires: a duration such as 1h, or an instant such as 2030-01-02T15:04:05Z."`
+	Ticket    bool          `help:"In an outage of the log: use a key bound to one instance, and print both before sending. To repeat the request, pass them as --key and --node."`
+	First     bool          `help:"Assert that the key was never sent before, so that a refusal can report 'not run'."`
 	Stream    bool          `help:"Write tokens as they come."`
 	MaxTokens int           `help:"The most tokens to generate."`
 	Deadline  time.Duration `help:"A deadline shorter than the document's."`
--- a/internal/shell/docs.go
+++ b/internal/shell/docs.go
@@ -58,8 +58,8 @@
 	opsFlags
 	File string        `arg:"" help:"The document."`
 	Base int64         `help:"The revision that the change is based on; by default the one in force now. -1 means the default." default:"-1"`
-	ID   string        `help:"Repeat an offer whose outcome was not learned, by its id."`
-	Wait time.Duration `help:"How long to wait until it is in force everywhere." default:"30s"`
+	ID   string        `help:"Repeat an offer of unknown outcome, by its ID."`
+	Wait time.Duration `help:"How long to wait until the document is in force everywhere." default:"30s"`
 	By   string        `help:"Who makes the change." env:"USER"`
 }
 
--- a/internal/shell/explain.go
+++ b/internal/shell/explain.go
@@ -8,7 +8,7 @@
 )
 
 type explainCmd struct {
-	ID    string   `arg:"" help:"The request's name, as the caller sent it."`
+	ID    string   `arg:"" help:"The request ID, as the caller sent it."`
 	Files []string `arg:"" optional:"" help:"Logs of the instances; standard input if none is named." type:"existingfile"`
 }
 
--- a/internal/shell/node.go
+++ b/internal/shell/node.go
@@ -22,7 +22,7 @@
 
 type nodeCmd struct {
 	Config      string `help:"The settings file, see docs/OPERATIONS.md; by default the one that AMARANTHVALVE_BOOT names." env:"AMARANTHVALVE_BOOT" required:"" placeholder:"FILE"`
-	CheckConfig bool   `help:"Check the settings and exit: 0 if they are right, 1 with all faults if not."`
+	CheckConfig bool   `help:"Check the settings and exit: 0 if they are valid, 1 with all faults if not."`
 
 	signals early.Signals
 }
--- a/internal/shell/stand.go
+++ b/internal/shell/stand.go
@@ -21,7 +21,7 @@
 	Pool     poolCmd     `cmd:"" help:"Run an endpoint of a stage pool: encoder, retriever, reranker."`
 	Service  poolCmd     `cmd:"" help:"Run a plain service that records each execution."`
 	Keys     keysCmd     `cmd:"" help:"Write ca.pem, cert.pem and key.pem for instances under test."`
-	Trial    trialCmd    `cmd:"" help:"Measure the decisions about load against plain baselines, in fake time."`
+	Trial    trialCmd    `cmd:"" help:"Compare the load decisions with simple baselines, in simulated time."`
 	Demo     demoCmd     `cmd:"" help:"Run the whole path in one process and show it."`
 }
 
