--- a/internal/shell/explain.go
+++ b/internal/shell/explain.go
@@ -8,7 +8,7 @@
 )
 
 type explainCmd struct {
-	ID    string   `arg:"" help:"The request's name, as the caller sent it."`
+	ID    string   `arg:"" help:"The request ID, as the caller sent it."`
 	Files []string `arg:"" optional:"" help:"Logs of the instances; standard input if none is named." type:"existingfile"`
 }
 
@@ -30,7 +30,7 @@
 		lines = append(lines, read...)
 	}
 	if len(lines) == 0 {
-		return fmt.Errorf("no line tells of request %q", cmd.ID)
+		return fmt.Errorf("no log line mentions request %q", cmd.ID)
 	}
 	reqlog.Sort(lines)
 	for _, line := range lines {
