--- a/internal/entry/answers_test.go
+++ b/internal/entry/answers_test.go
@@ -15,9 +15,9 @@
 )
 
 var _ = ginkgo.Describe("no result is lost, doubled or crossed", func() {
-	// An encoder answers a request under another attempt's id, as a late answer
-	// of an abandoned attempt would. The caller sees its own answer: the
-	// foreign one is dropped and the stage, which is idempotent, runs again.
+	// An encoder answers with another attempt's ID, as a late answer of an
+	// abandoned attempt would. The instance drops that answer and retries the
+	// stage, which is idempotent, so that the caller receives its own answer.
 	ginkgo.It("drops an answer that belongs to another attempt", func() {
 		wld := newWorld(1, "")
 		for _, ept := range wld.pools["encoders"] {
@@ -29,23 +29,23 @@
 		expect(ans.Stages[0].Attempts).To(gomega.BeNumerically(">", 1))
 	})
 
-	// The booking service answers under another attempt's id. The booking may
-	// have run, so that it must not run again: the caller is told "unknown",
-	// and so is every repeat.
+	// The booking service answers with another attempt's ID. The booking may
+	// have run and must not run again: the caller and every repeat receive
+	// "unknown".
 	ginkgo.It("never repeats a booking whose answer was foreign", func() {
 		wld := newWorld(2, "")
 		wld.pools["booking"][0].SetFaults(stand.Faults{WrongAttempt: 1})
-		ans := wld.call(0, "booking", book("w1"))
+		ans := wld.call(0, "booking", booking("w1"))
 		expect(ans.Outcome).To(equal("unknown"))
 		expect(ans.Reason).To(equal("wrong_attempt"))
-		again := wld.call(1, "booking", book("w1"))
+		again := wld.call(1, "booking", booking("w1"))
 		expect(again.Outcome).To(equal("unknown"))
 		expect(wld.ran(workspace, "w1")).To(equal(1))
 	})
 
-	// A hundred callers ask at once while encoders cut connections, lose
-	// replies and answer under foreign ids. Each caller gets the answer to its
-	// own input or an honest failure, never another's.
+	// 100 concurrent requests while encoders cut connections, lose replies and
+	// answer with foreign attempt IDs. Each caller receives the answer to its own
+	// input or a failure, never another request's answer.
 	ginkgo.It("never hands an answer to another request", func() {
 		wld := newWorld(2, "")
 		for _, ept := range wld.pools["encoders"] {
@@ -73,17 +73,18 @@
 		expect(done).To(gomega.BeNumerically(">", 30))
 	})
 
-	// Two workspaces name their bookings alike. Each runs once and each gets
-	// its own answer; a third body under a used key is refused and does not run.
+	// Two workspaces use the same idempotency key. Each booking runs once and each
+	// caller receives its own answer. Another body under a used key is refused and
+	// does not run.
 	ginkgo.It("keeps two workspaces with one key apart", func() {
 		wld := newWorld(1, "")
 		text := wld.read("booking") + "\n[[workspace]]\nname = \"downs-civil\"\n"
 		wld.publish(0, "booking", text)
-		mine, theirs := book("k"), book("k")
+		mine, theirs := booking("k"), booking("k")
 		theirs.Input = "their possession"
 		expect(wld.call(0, "booking", mine).Output).To(equal("confirm(possession k)"))
 		expect(wld.callAs("downs-civil", 0, "booking", theirs).Output).To(equal("confirm(their possession)"))
-		other := book("k")
+		other := booking("k")
 		other.Input = "something else"
 		ans := wld.call(0, "booking", other)
 		expect(ans.Outcome + " " + ans.Reason).To(equal("not_run key_conflict"))
@@ -109,8 +110,8 @@
 		return ans, text
 	}
 
-	// The engine's stream is cut after each possible number of tokens, twice
-	// in a row. The caller sees every token once and in order.
+	// The first stream of each of the two engines is cut, after every possible number
+	// of tokens. The caller receives every token once and in order.
 	ginkgo.It("goes on after a cut at every token boundary", func() {
 		wld := newWorld(1, "")
 		const tokens = 6
@@ -124,8 +125,8 @@
 		}
 	})
 
-	// The engine dies in the middle of a stream: its connections break and
-	// nothing listens there any more. Another engine goes on at the next index.
+	// The engine crashes in the middle of a stream: its connections break and its
+	// port is closed. Another engine resumes at the next token index.
 	ginkgo.It("goes on at another engine when one dies", func() {
 		wld := newWorld(1, "")
 		var once sync.Once
@@ -145,9 +146,9 @@
 		expect(text).To(equal(generated("plan", 40)))
 	})
 
-	// The instance that streams is killed. The caller's connection ends without
-	// the closing event, so that it knows the answer is not whole; it goes on
-	// at another instance with its token and the texts it has.
+	// The streaming instance is killed. The caller's connection ends without the
+	// end event, which marks the answer as incomplete. The client resumes at
+	// another instance with its resume token and the tokens received so far.
 	ginkgo.It("is taken up at another instance when the first is killed", func() {
 		wld := newWorld(2, "")
 		var once sync.Once
@@ -157,7 +158,7 @@
 			}
 			once.Do(func() {
 				for _, nod := range wld.nodes {
-					if nod.busy() {
+					if nod.hasInFlight() {
 						go nod.Kill()
 						break
 					}
@@ -168,8 +169,8 @@
 		expect(text).To(equal(generated("plan", 40)))
 	})
 
-	// A workspace sends another's token, or one it made up, or its own for
-	// another input. It gets nothing of the stream, and nothing runs.
+	// A workspace sends the resume token of another workspace, a forged one, or one
+	// for a different input. It receives nothing of the stream, and nothing runs.
 	ginkgo.It("gives a guessed or foreign token nothing", func() {
 		wld := newWorld(1, "")
 		wld.publish(0, "planning", wld.read("planning")+"\n[[workspace]]\nname = \"downs-civil\"\n")
@@ -192,8 +193,8 @@
 	})
 })
 
-// busy tells whether requests are under way at the instance.
-func (nod *Node) busy() bool {
+// hasInFlight reports whether the instance has requests in flight at an endpoint.
+func (nod *Node) hasInFlight() bool {
 	for _, ept := range nod.ctl.Status(context.Background()).Endpoints {
 		if ept.InFlight > 0 {
 			return true
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -16,9 +16,9 @@
 	"amaranthvalve/pkg/outcm"
 )
 
-// eventWait bounds the write of one event of a stream: a caller that reads no
-// more would otherwise hold a place at an engine until its deadline.
-const eventWait = 10 * time.Second
+// eventTimeout is the time-out for writing one stream event. A caller that stops
+// reading would otherwise occupy a slot at an engine until its deadline.
+const eventTimeout = 10 * time.Second
 
 func (nod *Node) callerRoutes() []rest.Route {
 	return []rest.Route{
@@ -27,8 +27,9 @@
 	}
 }
 
-// entries answers "which address". An instance that is not ready answers 503
-// and names nobody: it may be the one that is cut off.
+// entries lists the addresses of instances that accept requests. An instance
+// that is not ready answers 503 without a list, since it may be partitioned
+// from the others.
 func (nod *Node) entries(wrt http.ResponseWriter, req *http.Request) {
 	if ready, why := nod.ctl.View().Ready(nod.clk.Now()); !ready {
 		wire.WriteJSON(wrt, http.StatusServiceUnavailable, wire.ErrorBody{Error: why})
@@ -39,7 +40,7 @@
 	wire.WriteJSON(wrt, http.StatusOK, wire.Entries{Entries: list, KeepMs: nod.set.EntryTTL()})
 }
 
-// submit takes a caller's request through the chain.
+// submit runs a caller's request through the filter chain.
 func (nod *Node) submit(wrt http.ResponseWriter, req *http.Request) {
 	cl := &filter.Call{
 		Service:   pathvar.Vars(req)["service"],
@@ -49,7 +50,7 @@
 	if err := wire.ReadJSON(req.Body, filter.MaxBody, &cl.Submit); err != nil {
 		res := outcm.New(outcm.NotRun, outcm.BadRequest, err.Error())
 		nod.mtr.CountRequest("", res, 0)
-		nod.write(wrt, cl, res)
+		nod.writeAnswer(wrt, cl, res)
 		return
 	}
 	out := &output{wrt: wrt, ctl: http.NewResponseController(wrt)}
@@ -58,25 +59,25 @@
 		cl.Take = out.token
 	}
 	res := nod.chn.Serve(req.Context(), cl)
-	nod.logAnswer(cl, res)
-	if out.begun {
+	nod.logRefusal(cl, res)
+	if out.started {
 		out.end(nod.answer(cl, res))
 		return
 	}
-	nod.write(wrt, cl, res)
+	nod.writeAnswer(wrt, cl, res)
 }
 
-// output writes a stream to a caller. Its status line goes out with the first
-// event, so that what is refused before has a status of its own.
+// output writes an event stream to a caller. The status line is sent with the
+// first event, so that a request refused before has a status of its own.
 type output struct {
-	wrt   http.ResponseWriter
-	ctl   *http.ResponseController
-	begun bool
+	wrt     http.ResponseWriter
+	ctl     *http.ResponseController
+	started bool
 }
 
 func (out *output) open(val wire.Open) {
-	if !out.begun {
-		out.begun = true
+	if !out.started {
+		out.started = true
 		out.wrt.Header().Set("Content-Type", "text/event-stream")
 		out.wrt.WriteHeader(http.StatusOK)
 	}
@@ -85,7 +86,7 @@
 
 func (out *output) token(tok wire.Token) error {
 	tok.Attempt = ""
-	if !out.begun {
+	if !out.started {
 		out.open(wire.Open{})
 	}
 	return out.event(wire.EventToken, tok)
@@ -97,7 +98,7 @@
 }
 
 func (out *output) event(name string, val any) error {
-	_ = out.ctl.SetWriteDeadline(time.Now().Add(eventWait))
+	_ = out.ctl.SetWriteDeadline(time.Now().Add(eventTimeout))
 	return wire.WriteEvent(out.wrt, name, val)
 }
 
@@ -109,7 +110,7 @@
 	}
 }
 
-func (nod *Node) write(wrt http.ResponseWriter, cl *filter.Call, res outcm.Result) {
+func (nod *Node) writeAnswer(wrt http.ResponseWriter, cl *filter.Call, res outcm.Result) {
 	wrt.Header().Set(wire.HeaderOutcome, res.Outcome().String())
 	wrt.Header().Set(wire.HeaderReason, res.Reason().String())
 	if after := res.RetryAfter(); after > 0 {
@@ -119,17 +120,16 @@
 	wire.WriteJSON(wrt, res.Status(), nod.answer(cl, res))
 }
 
-// logAnswer writes a line for what was not answered whole; inputs, answers and
-// keys are not logged.
-func (nod *Node) logAnswer(cl *filter.Call, res outcm.Result) {
+// logRefusal logs requests that were not done, without inputs, answers and keys.
+func (nod *Node) logRefusal(cl *filter.Call, res outcm.Result) {
 	if res.Outcome() == outcm.Done {
 		return
 	}
 	name := cl.RequestID()
 	if cl.Submit.Key != "" {
-		// The name holds the key.
+		// The request ID contains the key.
 		name = ""
 	}
-	nod.quiet(res.Reason()).Str("request", name).Str("service", cl.DocName()).Str("workspace", cl.Workspace).
-		Str("outcome", res.Outcome().String()).Str("reason", res.Reason().String()).Str("detail", res.Detail()).Msg("not answered whole")
+	nod.limitedWarn(res.Reason()).Str("request", name).Str("service", cl.DocName()).Str("workspace", cl.Workspace).
+		Str("outcome", res.Outcome().String()).Str("reason", res.Reason().String()).Str("detail", res.Detail()).Msg("request not completed")
 }
--- a/internal/entry/docs_test.go
+++ b/internal/entry/docs_test.go
@@ -15,7 +15,7 @@
 	"amaranthvalve/pkg/ident"
 )
 
-func (wld *world) offer(node int, base int64, owner string) wire.Published {
+func (wld *world) publishOwner(node int, base int64, owner string) wire.Published {
 	text := strings.Replace(wld.read("booking"), `owner = "dispatch"`, fmt.Sprintf("owner = %q", owner), 1)
 	return wld.nodes[node].ctl.Publish(wld.ctx, "booking", wire.Publish{ID: ident.NewID(), Base: base, Text: text, By: owner, WaitMs: 8 * clock.Second})
 }
@@ -34,9 +34,9 @@
 }
 
 var _ = ginkgo.Describe("an accepted document", func() {
-	// Operators race at three instances, ten times, each change based on the
-	// same revision. Exactly one wins each time, the losers are told, and all
-	// instances go by the winner's document.
+	// Three operators publish at three instances concurrently, in ten rounds, each
+	// based on the same revision. Exactly one wins in each round, the others receive
+	// lost_race, and all instances apply the winner's document.
 	ginkgo.It("wins alone among racing operators, everywhere", func() {
 		wld := newWorld(3, "")
 		var worst clock.Milli
@@ -48,7 +48,7 @@
 				wgr.Add(1)
 				go func() {
 					defer wgr.Done()
-					results[i] = wld.offer(i, base, fmt.Sprintf("op%d-%d", round, i))
+					results[i] = wld.publishOwner(i, base, fmt.Sprintf("op%d-%d", round, i))
 				}()
 			}
 			wgr.Wait()
@@ -71,41 +71,41 @@
 		expect(worst).To(gomega.BeNumerically("<", 8*clock.Second))
 	})
 
-	// The log takes the offer and loses its reply, so that it is appended
-	// again. It counts once and is accepted.
+	// The log appends the offer, but its reply is lost, so that the offer is
+	// appended again. It takes effect once and is accepted.
 	ginkgo.It("counts once when the reply to its append is lost", func() {
 		wld := newWorld(2, "")
 		wld.plt.SetFaults(stand.Faults{LoseReplies: 2})
-		pub := wld.offer(0, wld.nodes[0].revision(), "lost")
+		pub := wld.publishOwner(0, wld.nodes[0].revision(), "lost")
 		expect(pub.Verdict).To(equal("accepted"))
 		expect(wld.nodes[1].owner()).To(equal("lost"))
 		expect(wld.nodes[0].ctl.History(wld.ctx, "booking")).To(gomega.HaveLen(2))
 	})
 
-	// An instance is cut off from the log and from its peers. It refuses new
-	// work after the freshness bound, and the publisher is told "in force" only
-	// after that. When it comes back it has the new document before it serves.
+	// An instance is partitioned from the log and from its peers. It refuses new
+	// requests after the maximum log age, and the publisher receives "in force" only
+	// after that. After the partition it applies the new document before it serves.
 	ginkgo.It("is not contradicted by an instance that is cut off", func() {
 		wld := newWorld(3, "")
-		wld.cutOff(2, true)
-		pub := wld.offer(0, wld.nodes[0].revision(), "while away")
+		wld.setPartitioned(2, true)
+		pub := wld.publishOwner(0, wld.nodes[0].revision(), "while away")
 		expect(pub.Verdict).To(equal("accepted"))
 		expect(pub.InForce).To(isTrue(), "behind %v", pub.Behind)
 		ans := wld.call(2, "planning", wire.Submit{Input: "x", MaxTokens: 1})
 		expect(ans.Outcome + " " + ans.Reason).To(equal("not_run stale_view"))
 		fmt.Printf("measured: one of 3 cut off, change in force after %d ms\n", pub.TookMs)
 		gomega.Consistently(wld.nodes[2].isReady, 6*time.Second, 20*time.Millisecond).Should(gomega.BeFalse())
-		wld.cutOff(2, false)
+		wld.setPartitioned(2, false)
 		until(10*time.Second, wld.nodes[2].isReady)
 		expect(wld.nodes[2].owner()).To(equal("while away"))
 	})
 
-	// The log is out for longer than the freshness bound. The instances vouch
-	// for each other and go on; a new one takes the documents from a peer; a
-	// publisher learns that nothing is decided. Then the log answers an older end.
+	// The log is out for longer than the maximum log age. The instances confirm each
+	// other's state and serve on, and a new instance fetches the documents from a
+	// peer. Then the log answers with an end older than before.
 	ginkgo.It("stays in force through an outage, at new instances too", func() {
 		wld := newWorld(3, "")
-		pub := wld.offer(0, wld.nodes[0].revision(), "before")
+		pub := wld.publishOwner(0, wld.nodes[0].revision(), "before")
 		expect(pub.InForce).To(isTrue())
 		wld.plt.SetFaults(stand.Faults{Outage: true})
 		for _, nod := range wld.nodes {
@@ -120,15 +120,16 @@
 		wld.plt.SetFaults(stand.Faults{HideNewest: 3})
 		for _, nod := range wld.nodes {
 			until(5*time.Second, func() bool {
-				_, text := get("http://" + nod.OpsAddr() + "/metrics")
+				_, text := httpGet("http://" + nod.OpsAddr() + "/metrics")
 				return !strings.Contains(text, `amv_events_total{kind="log_answered_older_end"} 0`)
 			})
 			expect(nod.owner()).To(equal("before"))
 		}
 	})
 
-	// A lone new instance starts in an outage and has nobody to ask. It must not
-	// take "no documents" for the truth: it is not ready and refuses, not run.
+	// A new instance starts while the log and the instance list are out and knows no
+	// peer. It must not take the absence of documents for the current state: it is
+	// not ready and refuses requests as not_run.
 	ginkgo.It("is not taken to be missing by a new instance that knows nothing", func() {
 		wld := newWorld(1, "")
 		wld.plt.SetFaults(stand.Faults{Outage: true})
@@ -139,8 +140,8 @@
 		expect(ans.Outcome + " " + ans.Reason).To(equal("not_run stale_view"))
 	})
 
-	// All records but the newest few are forgotten, after the instances have
-	// appended the documents again. An instance that starts then has them all.
+	// The instance appends a snapshot of the documents, then all older records are
+	// trimmed. An instance that starts afterwards has all documents.
 	ginkgo.It("outlives the records that it came in", func() {
 		wld := newWorld(1, "")
 		reg := wld.nodes[0]
@@ -152,15 +153,15 @@
 		until(10*time.Second, nod.isReady)
 		expect(nod.owner()).To(equal("dispatch"))
 		expect(nod.revision()).To(equal(reg.revision()))
-		pub := wld.offer(1, nod.revision(), "after")
+		pub := wld.publishOwner(1, nod.revision(), "after")
 		expect(pub.Verdict).To(equal("accepted"))
 	})
 
-	// All instances are replaced, one after another and then all at once, with
-	// the log up. The documents stay in force at the same revisions.
+	// All instances are replaced, first one by one and then all at once, with the
+	// log available. The documents stay in force at the same revisions.
 	ginkgo.It("outlives the replacement of every instance", func() {
 		wld := newWorld(2, "")
-		want := wld.offer(0, wld.nodes[0].revision(), "kept").Revision
+		want := wld.publishOwner(0, wld.nodes[0].revision(), "kept").Revision
 		for i := range 2 {
 			nod := wld.addNode()
 			until(5*time.Second, nod.isReady)
@@ -177,14 +178,13 @@
 })
 
 var _ = ginkgo.Describe("after a long closure", func() {
-	// Everything was switched off for longer than the log keeps records: no
-	// instance and no record is left. The first instance to start finds streams
-	// that begin in the middle. It takes documents anew, and bookings run; it
-	// used to wait for a manifest that nobody could write, and to refuse every
-	// booking since it did not know the keys of before.
+	// Guards against an instance that never becomes ready after all instances were
+	// down for longer than the log's retention: its streams are empty and start at a
+	// later offset. The instance must not wait for a manifest that no other instance
+	// can write, nor refuse bookings because earlier keys are unknown.
 	ginkgo.It("an instance starts from nothing", func() {
 		wld := newWorld(1, "")
-		expect(wld.call(0, "booking", book("before")).Outcome).To(equal("done"))
+		expect(wld.call(0, "booking", booking("before")).Outcome).To(equal("done"))
 		wld.nodes[0].Kill()
 		for _, stream := range []string{"docs", "claims", "leases"} {
 			wld.plt.Trim(stream, 0)
@@ -194,7 +194,7 @@
 		until(30*time.Second, nod.isReady)
 		fmt.Printf("measured: ready %v after a start from nothing\n", time.Since(began))
 		wld.publish(1, "booking", wld.read("booking"))
-		until(10*time.Second, func() bool { return wld.call(1, "booking", book("after")).Outcome == "done" })
+		until(10*time.Second, func() bool { return wld.call(1, "booking", booking("after")).Outcome == "done" })
 		expect(wld.ran(workspace, "after")).To(equal(1))
 		later := wld.addNode()
 		until(30*time.Second, later.isReady)
@@ -203,9 +203,9 @@
 })
 
 var _ = ginkgo.Describe("orders to endpoints", func() {
-	// The holder of the lease orders engines to load the document's model. When
-	// it is killed another instance takes over after the lease and the flight of
-	// an order, with a greater fencing number, and corrects what is wrong.
+	// The lease holder orders engines to load the document's model. When it is
+	// killed, another instance takes over once the lease has expired and orders in
+	// flight have timed out, with a greater fencing number, and corrects the engines.
 	ginkgo.It("come from one holder after another, with a growing number", func() {
 		wld := newWorld(2, "")
 		engine := wld.pools["planners"][0]
--- a/internal/entry/drains_test.go
+++ b/internal/entry/drains_test.go
@@ -16,9 +16,9 @@
 )
 
 var _ = ginkgo.Describe("leaving and stopping", func() {
-	// An encoder says that it is leaving while the instance list is out. Its
-	// own word, in an answer or a report, reaches both instances: neither sends
-	// it new work after a few seconds.
+	// An encoder declares in its answers and reports that it is leaving, while the
+	// instance list is out. Both instances learn of it and send it no new requests
+	// after a few seconds.
 	ginkgo.It("an endpoint that leaves gets no new work, with the instance list down", func() {
 		wld := newWorld(2, "")
 		wld.plt.SetListFaults(stand.Faults{Outage: true})
@@ -34,15 +34,15 @@
 			}
 		}
 		took := last.Sub(left)
-		ginkgo.GinkgoWriter.Printf("last new work %v after the word\n", took)
+		ginkgo.GinkgoWriter.Printf("last new work %v after the declaration\n", took)
 		fmt.Printf("measured: leaving endpoint, list down: last new work after %v\n", took)
 		expect(took).To(gomega.BeNumerically("<", 3*time.Second))
 	})
 
-	// An instance is asked to stop while a twelve-second booking and a long
-	// stream are under way and while callers go on using the address that they
-	// keep. Nothing is cut off; after the kept answers have run out it refuses,
-	// finishes and ends.
+	// An instance is shut down while a slow booking and a long stream are in flight
+	// and callers still use their cached address. No request is interrupted; once
+	// cached addresses have expired the instance refuses new requests, finishes those
+	// in flight and exits.
 	ginkgo.It("a planned stop cuts nothing off", func() {
 		wld := newWorld(2, "")
 		wld.pools["booking"][0].SetFaults(stand.Faults{SlowMs: 4000})
@@ -52,14 +52,14 @@
 		wgr.Add(2)
 		go func() {
 			defer wgr.Done()
-			slow = wld.call(0, "booking", book("slow"))
+			slow = wld.call(0, "booking", booking("slow"))
 		}()
 		go func() {
 			defer wgr.Done()
 			cli := caller.New([]string{wld.nodes[0].CallerAddr()}, workspace, "", "")
 			streamed = cli.CallAt(wld.ctx, wld.nodes[0].CallerAddr(), "planning", wire.Submit{Input: "long", Stream: true, MaxTokens: 900}, func(tok wire.Token) { text += tok.Text })
 		}()
-		until(3*time.Second, wld.nodes[0].busy)
+		until(3*time.Second, wld.nodes[0].hasInFlight)
 		var stopped atomic.Bool
 		began := time.Now()
 		go func() { wld.nodes[0].Stop(context.Background()); stopped.Store(true) }()
@@ -78,7 +78,7 @@
 		expect(streamed.Outcome).To(equal("done"), streamed.Reason)
 		expect(text).To(equal(generated("long", 900)))
 		until(5*time.Second, stopped.Load)
-		expect(wld.call(1, "booking", book("slow")).Outcome).To(equal("done"))
+		expect(wld.call(1, "booking", booking("slow")).Outcome).To(equal("done"))
 		expect(wld.ran(workspace, "slow")).To(equal(1))
 	})
 })
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -24,66 +24,66 @@
 	"amaranthvalve/pkg/ident"
 )
 
-// Error is the class of errors that keep an instance from starting.
+// Error is the class of errors that prevent an instance from starting.
 var Error = errs.Class("instance")
 
-// Bounds of the HTTP interfaces.
 const (
+	// opsMaxConns is the maximum number of connections to the operators' interface.
 	opsMaxConns = 256
-	// flushWait bounds the wait for the log at the end of a stop.
-	flushWait = 10 * time.Second
+	// flushTimeout is the time-out for flushing records to the log at shutdown.
+	flushTimeout = 10 * time.Second
 )
 
-// Node is one instance.
+// Node is an instance of the gateway.
 type Node struct {
-	set    *conf.Settings
-	clk    clock.Clock
-	log    zerolog.Logger
-	mtr    *meter.Meter
-	ctl    *contr.Control
-	rnr    *stage.Runner
-	chn    *filter.Chain
-	link   *peer.Link
-	caller *serve.DrainServer
-	ops    *http.Server
-	calls  net.Listener
-	opers  net.Listener
-
-	// lines bounds the log lines of each reason.
-	lines  sync.Map
-	cancel context.CancelFunc
-	ended  chan struct{}
+	set       *conf.Settings
+	clk       clock.Clock
+	log       zerolog.Logger
+	mtr       *meter.Meter
+	ctl       *contr.Control
+	rnr       *stage.Runner
+	chn       *filter.Chain
+	link      *peer.Link
+	callerSrv *serve.DrainServer
+	opsSrv    *http.Server
+	callerLsn net.Listener
+	opsLsn    net.Listener
+
+	// warnLimits has a rate limiter of log lines for each reason of refusal.
+	warnLimits sync.Map
+	cancel     context.CancelFunc
+	loopDone   chan struct{}
 }
 
-// Keys gives the TLS settings of the link between instances.
+// Keys returns the TLS configurations for connections between instances.
 type Keys func() (server, client *tls.Config, err error)
 
-// FileKeys reads the keys from the files that the settings name.
+// FileKeys returns Keys that reads the certificate and key files named in the settings.
 func FileKeys(set *conf.Settings) Keys {
 	return func() (*tls.Config, *tls.Config, error) { return peer.TLSConfigs(set.TLS()) }
 }
 
-// New opens the sockets of an instance. Nothing is served before Start.
+// New creates an instance and opens its listeners. It serves from Start on.
 func New(set *conf.Settings, keys Keys, log zerolog.Logger) (*Node, error) {
-	nod := &Node{set: set, log: log, mtr: meter.New(), ended: make(chan struct{})}
+	nod := &Node{set: set, log: log, mtr: meter.New(), loopDone: make(chan struct{})}
 	var err error
-	if nod.calls, err = net.Listen("tcp", set.CallerAddr()); err != nil {
+	if nod.callerLsn, err = net.Listen("tcp", set.CallerAddr()); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	if nod.opers, err = net.Listen("tcp", set.OpsAddr()); err != nil {
+	if nod.opsLsn, err = net.Listen("tcp", set.OpsAddr()); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	nod.opers = netutil.LimitListener(nod.opers, opsMaxConns)
+	nod.opsLsn = netutil.LimitListener(nod.opsLsn, opsMaxConns)
 	if err := nod.open(keys); err != nil {
 		return nil, err
 	}
 	return nod, nil
 }
 
-// open makes the parts. The link must listen before the incarnation is known,
-// for its port may be chosen by the machine.
+// open creates the components. The link must listen before the incarnation is
+// built, since the operating system may choose its port.
 func (nod *Node) open(keys Keys) error {
-	addr := nod.calls.Addr().String()
+	addr := nod.callerLsn.Addr().String()
 	if nod.set.PeerAddr() != "" {
 		server, client, err := keys()
 		if err != nil {
@@ -106,7 +106,7 @@
 	}
 	nod.rnr = stage.New(nod.clk, nod.set.Zone(), nod.mtr, func(pool, id string) { nod.ctl.Left(pool, id) })
 	nod.ctl = contr.New(contr.Setup{
-		Self: ident.NewIncarnation(addr), Zone: nod.set.Zone(), CallerAddr: nod.calls.Addr().String(),
+		Self: ident.NewIncarnation(addr), Zone: nod.set.Zone(), CallerAddr: nod.callerLsn.Addr().String(),
 		Peers: nod.set.Peers(), Fresh: nod.set.MaxLogAge(), LogRetention: nod.set.LogRetention(), Clock: nod.clk,
 		Platform: platf.New(nod.set.Platform()), Runner: nod.rnr, Meter: nod.mtr, Log: nod.log, Link: nod.link,
 	})
@@ -127,20 +127,20 @@
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	nod.caller, nod.ops = serve.NewDrainServer(callers, nod.calls, nod.set.MaxConnections()), serve.NewPlain(ops)
+	nod.callerSrv, nod.opsSrv = serve.NewDrainServer(callers, nod.callerLsn, nod.set.MaxConnections()), serve.NewPlain(ops)
 	return nil
 }
 
-// CallerAddr gives the address on which callers are served.
-func (nod *Node) CallerAddr() string { return nod.calls.Addr().String() }
+// CallerAddr returns the listen address of the callers' interface.
+func (nod *Node) CallerAddr() string { return nod.callerLsn.Addr().String() }
 
-// OpsAddr gives the address of the operators' interface.
-func (nod *Node) OpsAddr() string { return nod.opers.Addr().String() }
+// OpsAddr returns the listen address of the operators' interface.
+func (nod *Node) OpsAddr() string { return nod.opsLsn.Addr().String() }
 
-// Control gives the instance's control state.
+// Control returns the instance's control state.
 func (nod *Node) Control() *contr.Control { return nod.ctl }
 
-// Start serves until Stop or Kill.
+// Start begins to serve; the instance serves until Stop or Kill.
 func (nod *Node) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	nod.cancel = cancel
@@ -150,42 +150,43 @@
 	go nod.rnr.Tick(ctx)
 	go func() {
 		nod.ctl.Run(ctx)
-		close(nod.ended)
+		close(nod.loopDone)
 	}()
-	go nod.caller.Serve()
-	go func() { _ = nod.ops.Serve(nod.opers) }()
+	go nod.callerSrv.Serve()
+	go func() { _ = nod.opsSrv.Serve(nod.opsLsn) }()
 	nod.log.Info().Str("instance", string(nod.ctl.Self())).Str("callers", nod.CallerAddr()).Str("operators", nod.OpsAddr()).Msg("started")
 }
 
-// Stop is a planned stop. It cuts off no request: the instance leaves the
-// answers to "which address", serves until kept answers have run out, finishes
-// what is under way, and ends. It returns when all is done or the context ends.
+// Stop shuts the instance down without interrupting requests: it removes the
+// instance from the lists of addresses, serves until cached lists have expired,
+// finishes the requests in flight and flushes the log. It returns when that is
+// done or the context ends.
 func (nod *Node) Stop(ctx context.Context) {
-	keep := nod.set.EntryTTL()
-	nod.log.Info().Int64("keep_ms", int64(keep)).Msg("leaving; serving until kept addresses have run out")
+	ttl := nod.set.EntryTTL()
+	nod.log.Info().Int64("keep_ms", int64(ttl)).Msg("draining; serving until cached addresses have expired")
 	nod.ctl.Leave(ctx)
 	select {
-	case <-time.After(keep.Duration()):
+	case <-time.After(ttl.Duration()):
 	case <-ctx.Done():
 	}
 	nod.ctl.Refuse()
-	nod.log.Info().Msg("refusing new requests, finishing what is under way")
-	// Shutdown waits for requests under way, streams included, and closes
+	nod.log.Info().Msg("refusing new requests, finishing requests in flight")
+	// Shutdown waits for requests in flight, including streams, and closes
 	// idle connections.
-	nod.caller.Shutdown(ctx)
-	fctx, cancel := context.WithTimeout(ctx, flushWait)
+	nod.callerSrv.Shutdown(ctx)
+	fctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
 	nod.ctl.Flush(fctx)
 	nod.Kill()
 	nod.log.Info().Msg("stopped")
 }
 
-// Kill ends the instance at once, as a crash would.
+// Kill stops the instance at once, as in a crash.
 func (nod *Node) Kill() {
-	nod.caller.Close()
-	_ = nod.ops.Close()
+	nod.callerSrv.Close()
+	_ = nod.opsSrv.Close()
 	if nod.cancel != nil {
 		nod.cancel()
-		<-nod.ended
+		<-nod.loopDone
 	}
 }
--- a/internal/entry/once_test.go
+++ b/internal/entry/once_test.go
@@ -16,17 +16,17 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// shortMs is a deadline that passes while a claim waits for the log, in milliseconds.
-const shortMs = 300
+// shortDeadlineMs is a deadline, in milliseconds, that passes while a claim waits for the log.
+const shortDeadlineMs = 300
 
-// claimHeld books at the first instance until the claim of an attempt that was given up
-// waits at a log that holds appends, and gives its key and its answer. An attempt whose
-// time runs out before its claim is sent leaves none.
-func (wld *world) claimHeld(name string) (key string, ans wire.Answer) {
+// claimPending sends bookings to the first instance until the log, which delays appends, has
+// the claim of an abandoned attempt pending, and returns its key and its answer. An attempt
+// whose deadline passes before its claim is sent leaves no claim.
+func (wld *world) claimPending(name string) (key string, ans wire.Answer) {
 	answers := map[string]wire.Answer{}
 	until(10*time.Second, func() bool {
-		sub := firstBook(fmt.Sprintf("%s-%d", name, len(answers)))
-		sub.DeadlineMs = shortMs
+		sub := firstBooking(fmt.Sprintf("%s-%d", name, len(answers)))
+		sub.DeadlineMs = shortDeadlineMs
 		answers[sub.Key] = wld.call(0, "booking", sub)
 		expect(answers[sub.Key].Outcome).To(equal("not_run"), answers[sub.Key].Reason)
 		for _, body := range wld.plt.PendingAppends("claims") {
@@ -41,8 +41,8 @@
 }
 
 var _ = ginkgo.Describe("a non-idempotent request runs at most once", func() {
-	// Forty bookings are each sent to both instances at once. Each runs once;
-	// the second caller is joined to the first attempt and gets its answer.
+	// 40 bookings are each sent to both instances at once. Each runs once; the
+	// second request joins the first attempt and receives its answer.
 	ginkgo.It("with one key at two instances at once", func() {
 		wld := newWorld(2, "")
 		outcomes := map[string]int{}
@@ -53,7 +53,7 @@
 			go func() {
 				defer ginkgo.GinkgoRecover()
 				defer wgr.Done()
-				ans := wld.call(i%2, "booking", book(fmt.Sprintf("both-%d", i/2)))
+				ans := wld.call(i%2, "booking", booking(fmt.Sprintf("both-%d", i/2)))
 				mtx.Lock()
 				defer mtx.Unlock()
 				outcomes[ans.Outcome]++
@@ -67,128 +67,127 @@
 		expect(outcomes["done"]).To(equal(80))
 	})
 
-	// The log takes the claim and its reply is lost. The instance appends the
-	// same claim again, finds its own record, and the booking runs once; it
-	// does get done.
+	// The log appends the claim, but its reply is lost. The instance appends the
+	// claim again, finds its own record, and the booking runs exactly once.
 	ginkgo.It("when replies to appends are lost after the effect", func() {
 		wld := newWorld(2, "")
 		for i := range 10 {
 			wld.plt.SetFaults(stand.Faults{LoseReplies: 2})
 			key := fmt.Sprintf("lost-%d", i)
-			ans := wld.call(i%2, "booking", book(key))
+			ans := wld.call(i%2, "booking", booking(key))
 			expect(ans.Outcome).To(equal("done"), ans.Detail)
-			expect(wld.call((i+1)%2, "booking", book(key)).Outcome).To(equal("done"))
+			expect(wld.call((i+1)%2, "booking", booking(key)).Outcome).To(equal("done"))
 			expect(wld.ran(workspace, key)).To(equal(1))
 		}
 	})
 
-	// The instance dies while the booking service works. Nobody can tell what
-	// became of the booking: a repeat elsewhere is told "unknown" and it is
-	// not run again.
+	// The instance is killed while the booking service executes the request. Its
+	// outcome cannot be known: a repeat at another instance receives "unknown", and
+	// the booking does not run again.
 	ginkgo.It("when the instance is killed after the dispatch", func() {
 		wld := newWorld(2, "")
 		wld.pools["booking"][0].SetFaults(stand.Faults{SlowMs: 1500})
-		go wld.call(0, "booking", book("killed"))
+		go wld.call(0, "booking", booking("killed"))
 		until(3*time.Second, func() bool { return len(wld.plt.Records("claims")) > 0 })
-		until(3*time.Second, wld.nodes[0].busy)
+		until(3*time.Second, wld.nodes[0].hasInFlight)
 		wld.nodes[0].Kill()
 		wld.pools["booking"][0].SetFaults(stand.Faults{})
-		ans := wld.call(1, "booking", book("killed"))
+		ans := wld.call(1, "booking", booking("killed"))
 		expect(ans.Outcome).To(gomega.Or(equal("unknown")), ans.Reason)
 		expect(wld.ran(workspace, "killed")).To(gomega.BeNumerically("<=", 1))
 	})
 
-	// The connection breaks after the request was written. It may have run, so
-	// that it is not sent again, and every repeat is told "unknown".
+	// The connection breaks after the request was written. The request may have run,
+	// so that it is not retried, and every repeat receives "unknown".
 	ginkgo.It("when the endpoint is cut after the request was written", func() {
 		wld := newWorld(2, "")
 		wld.pools["booking"][0].SetFaults(stand.Faults{LoseReplies: 1})
-		ans := wld.call(0, "booking", book("cut"))
+		ans := wld.call(0, "booking", booking("cut"))
 		expect(ans.Outcome + " " + ans.Reason).To(equal("unknown connection_cut"))
-		expect(wld.call(1, "booking", book("cut")).Outcome).To(equal("unknown"))
+		expect(wld.call(1, "booking", booking("cut")).Outcome).To(equal("unknown"))
 		expect(wld.ran(workspace, "cut")).To(equal(1))
 	})
 
-	// The endpoint refuses with its word that nothing ran, then takes the
-	// request: it is sent again, runs once and gets done.
+	// The endpoint first refuses and confirms that nothing ran, then accepts: the
+	// request is retried, runs once and is done.
 	ginkgo.It("and gets done when the endpoint had refused first", func() {
 		wld := newWorld(1, "")
 		wld.pools["booking"][0].SetFaults(stand.Faults{Refuse: 1})
-		expect(wld.call(0, "booking", book("refused")).Outcome).To(equal("done"))
+		expect(wld.call(0, "booking", booking("refused")).Outcome).To(equal("done"))
 		expect(wld.ran(workspace, "refused")).To(equal(1))
 	})
 
-	// A reused connection breaks as the endpoint runs the request. Go's HTTP
-	// transport would send a POST again by itself if it had a header named
-	// Idempotency-Key; ours has none, and the booking runs once.
+	// A reused connection breaks while the endpoint executes the request. Go's HTTP
+	// transport retries a POST by itself if it has a header Idempotency-Key; requests
+	// to endpoints have none, and the booking runs once.
 	ginkgo.It("over a reused connection that breaks", func() {
 		wld := newWorld(1, "")
-		expect(wld.call(0, "booking", book("warm")).Outcome).To(equal("done"))
+		expect(wld.call(0, "booking", booking("warm")).Outcome).To(equal("done"))
 		wld.pools["booking"][0].SetFaults(stand.Faults{LoseReplies: 1})
-		expect(wld.call(0, "booking", book("reused")).Outcome).To(equal("unknown"))
+		expect(wld.call(0, "booking", booking("reused")).Outcome).To(equal("unknown"))
 		expect(wld.ran(workspace, "reused")).To(equal(1))
 	})
 
-	// The log is out. A booking that its caller never sent before is refused
-	// as not run, at once, with a time to come back; a repeat is told that
-	// nobody knows. After the outage the same key runs, once.
+	// The log is out. A booking that its caller sends for the first time is refused
+	// at once as not_run, with a retry-after delay; a repeat receives "unknown".
+	// After the outage a booking under the same key runs once.
 	ginkgo.It("in an outage of the log", func() {
 		wld := newWorld(2, "")
 		wld.plt.SetFaults(stand.Faults{Outage: true})
-		until(5*time.Second, func() bool { return wld.call(0, "booking", firstBook("probe")).Reason == "log_unavailable" })
+		until(5*time.Second, func() bool { return wld.call(0, "booking", firstBooking("probe")).Reason == "log_unavailable" })
 		began := time.Now()
-		ans := wld.call(0, "booking", firstBook("out"))
+		ans := wld.call(0, "booking", firstBooking("out"))
 		expect(ans.Outcome + " " + ans.Reason).To(equal("not_run log_unavailable"))
 		expect(ans.RetryAfterMs).To(gomega.BeNumerically(">", 0))
 		expect(time.Since(began)).To(gomega.BeNumerically("<", time.Second))
-		expect(wld.call(1, "booking", book("out")).Outcome).To(equal("unknown"))
+		expect(wld.call(1, "booking", booking("out")).Outcome).To(equal("unknown"))
 		expect(wld.ran(workspace, "out")).To(equal(0))
 		expect(wld.call(0, "planning", wire.Submit{Input: "x", MaxTokens: 1}).Outcome).To(equal("done"))
 		wld.plt.SetFaults(stand.Faults{})
-		until(8*time.Second, func() bool { return wld.call(0, "booking", book("out")).Outcome == "done" })
+		until(8*time.Second, func() bool { return wld.call(0, "booking", booking("out")).Outcome == "done" })
 		expect(wld.ran(workspace, "out")).To(equal(1))
 	})
 
-	// Guards against a key that stays held by an attempt that was given up: its claim comes
-	// into the log only after its caller was answered.
+	// Guards against a key that stays claimed by an abandoned attempt: its claim is appended
+	// to the log only after its caller was answered.
 	ginkgo.It("when a claim comes into the log after its attempt was given up", func() {
 		wld := newWorld(2, "")
 		wld.plt.SetFaults(stand.Faults{HoldAppends: true})
-		key, ans := wld.claimHeld("slow")
+		key, ans := wld.claimPending("slow")
 		expect(ans.Outcome + " " + ans.Reason).To(equal("not_run log_unavailable"))
 		expect(wld.ran(workspace, key)).To(equal(0))
 		expect(wld.plt.Records("claims")).To(gomega.BeEmpty())
 		wld.plt.SetFaults(stand.Faults{})
 		until(5*time.Second, func() bool { return len(wld.plt.Records("claims")) > 0 })
-		until(10*time.Second, func() bool { return wld.call(1, "booking", book(key)).Outcome == "done" })
+		until(10*time.Second, func() bool { return wld.call(1, "booking", booking(key)).Outcome == "done" })
 		expect(wld.ran(workspace, key)).To(equal(1))
 	})
 
-	// Guards against a key that stays held by an attempt that was given up before its claim
-	// was sent to the log.
+	// Guards against a key that stays claimed by an attempt that was abandoned before its
+	// claim was sent to the log.
 	ginkgo.It("when an attempt was given up before its claim was sent", func() {
 		wld := newWorld(2, "")
 		wld.plt.SetFaults(stand.Faults{HoldAppends: true})
-		wld.claimHeld("ahead")
-		sub := firstBook("behind")
-		sub.DeadlineMs = shortMs
+		wld.claimPending("ahead")
+		sub := firstBooking("behind")
+		sub.DeadlineMs = shortDeadlineMs
 		expect(wld.call(0, "booking", sub).Outcome).To(equal("not_run"))
 		wld.plt.SetFaults(stand.Faults{})
-		until(10*time.Second, func() bool { return wld.call(1, "booking", book("behind")).Outcome == "done" })
+		until(10*time.Second, func() bool { return wld.call(1, "booking", booking("behind")).Outcome == "done" })
 		expect(wld.ran(workspace, "behind")).To(equal(1))
 	})
 
-	// A key is repeated after its expiry, with a new one. It is refused as
-	// expired, which does not claim that it did not run.
+	// A key is repeated after its expiry, with a new expiry time. It is refused as
+	// expired with the outcome unknown, since the first request may have run.
 	ginkgo.It("when a key is repeated after its expiry", func() {
 		wld := newWorld(1, "")
 		wld.pools["booking"][0].SetFaults(stand.Faults{Refuse: 100})
-		sub := firstBook("old")
+		sub := firstBooking("old")
 		sub.ExpiresMs = clock.Clock{}.Now() + 1500
 		expect(wld.call(0, "booking", sub).Outcome).To(equal("not_run"))
 		wld.pools["booking"][0].SetFaults(stand.Faults{})
 		until(4*time.Second, func() bool { return clock.Clock{}.Now() > sub.ExpiresMs })
-		ans := wld.call(0, "booking", book("old"))
+		ans := wld.call(0, "booking", booking("old"))
 		expect(ans.Outcome + " " + ans.Reason).To(equal("unknown key_expired"))
 		expect(wld.ran(workspace, "old")).To(equal(0))
 	})
--- a/internal/entry/ops.go
+++ b/internal/entry/ops.go
@@ -13,8 +13,8 @@
 	"amaranthvalve/pkg/svcdoc"
 )
 
-// linesPerSecond bounds the log lines a second for one reason of refusal.
-const linesPerSecond = 5
+// warnsPerSecond is the maximum rate of log lines for one reason of refusal.
+const warnsPerSecond = 5
 
 func (nod *Node) opsRoutes() []rest.Route {
 	return []rest.Route{
@@ -50,7 +50,7 @@
 		return
 	}
 	if pub.ID == "" || pub.Base < 0 {
-		wire.WriteJSON(wrt, http.StatusBadRequest, wire.ErrorBody{Error: "id: an offer needs an id; base: a revision is not below 0"})
+		wire.WriteJSON(wrt, http.StatusBadRequest, wire.ErrorBody{Error: "id is required and base must be a revision of at least 0"})
 		return
 	}
 	wire.WriteJSON(wrt, http.StatusOK, nod.ctl.Publish(req.Context(), pathvar.Vars(req)["service"], pub))
@@ -60,16 +60,16 @@
 	wire.WriteJSON(wrt, http.StatusOK, nod.ctl.Status(req.Context()))
 }
 
-// health says that the process works: its control thread takes events.
+// health reports whether the control loop processes events.
 func (nod *Node) health(wrt http.ResponseWriter, req *http.Request) {
 	if !nod.ctl.Alive(req.Context()) {
-		wire.WriteJSON(wrt, http.StatusServiceUnavailable, wire.ErrorBody{Error: "the control thread does not answer"})
+		wire.WriteJSON(wrt, http.StatusServiceUnavailable, wire.ErrorBody{Error: "the control loop does not answer"})
 		return
 	}
 	wire.WriteJSON(wrt, http.StatusOK, wire.ErrorBody{})
 }
 
-// ready says whether new work is taken.
+// ready reports whether the instance accepts new requests.
 func (nod *Node) ready(wrt http.ResponseWriter, _ *http.Request) {
 	ready, why := nod.ctl.View().Ready(nod.clk.Now())
 	if nod.ctl.Stopping() {
@@ -82,10 +82,10 @@
 	wire.WriteJSON(wrt, http.StatusOK, wire.ErrorBody{})
 }
 
-// quiet gives a log event that is written only so often for one reason: the
-// same fault a thousand times a second must not fill the log.
-func (nod *Node) quiet(rs outcm.Reason) *zerolog.Event {
-	lim, _ := nod.lines.LoadOrStore(rs, rate.NewLimiter(linesPerSecond, linesPerSecond))
+// limitedWarn returns a warning event for the log, or nil when the rate limit for this
+// reason is exceeded: a recurring fault must not flood the log.
+func (nod *Node) limitedWarn(rs outcm.Reason) *zerolog.Event {
+	lim, _ := nod.warnLimits.LoadOrStore(rs, rate.NewLimiter(warnsPerSecond, warnsPerSecond))
 	if !lim.(*rate.Limiter).Allow() {
 		return nil
 	}
--- a/internal/entry/stop_test.go
+++ b/internal/entry/stop_test.go
@@ -13,7 +13,7 @@
 )
 
 var _ = ginkgo.Describe("the end of a planned stop", func() {
-	// Guards against accepted connections that are closed without an answer to their requests.
+	// Guards against closing accepted connections without answering their requests.
 	ginkgo.It("answers on connections that were accepted", func() {
 		wld := newWorld(1, "")
 		nod := wld.nodes[0]
@@ -42,7 +42,7 @@
 		_, _ = io.WriteString(con, "GET /v1/entries?service=planning HTTP/1.1\r\nHost: x\r\n\r\n")
 		_ = con.SetReadDeadline(time.Now().Add(time.Second))
 		res, err := http.ReadResponse(bufio.NewReader(con), nil)
-		expect(err).NotTo(anything())
+		expect(err).NotTo(haveOccurred())
 		expect(res.Close).To(gomega.BeTrue())
 		for _, con := range cons {
 			_ = con.Close()
--- a/internal/entry/tickets_test.go
+++ b/internal/entry/tickets_test.go
@@ -14,29 +14,28 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// ticketed is a booking under a ticket, as its caller keeps it.
-type ticketed struct {
+// ticketBooking is a booking under a ticket and the address of the ticket's instance.
+type ticketBooking struct {
 	sub  wire.Submit
 	addr string
 }
 
-func (wld *world) ticket(node int, input string) ticketed {
+func (wld *world) ticket(node int, input string) ticketBooking {
 	boot := wld.nodes[node].ctl.Self().Boot()
-	sub := book(claim.TicketKey(boot))
+	sub := booking(claim.TicketKey(boot))
 	sub.Input, sub.First = input, true
 	sub.ExpiresMs = clock.Clock{}.Now() + clock.Minute
-	return ticketed{sub: sub, addr: wld.nodes[node].CallerAddr()}
+	return ticketBooking{sub: sub, addr: wld.nodes[node].CallerAddr()}
 }
 
-func (wld *world) send(tck ticketed, addr string) wire.Answer {
+func (wld *world) send(tck ticketBooking, addr string) wire.Answer {
 	return caller.New([]string{addr}, workspace, "", "").CallAt(wld.ctx, addr, "booking", tck.sub, nil)
 }
 
 var _ = ginkgo.Describe("tickets through an outage of the log", func() {
-	// The log is out. A booking under a ticket runs once at the instance that
-	// the ticket belongs to; repeats there get the recorded answer, another
-	// instance runs nothing. When the log is back the other knows the answer,
-	// also after the first one's end.
+	// The log is out. A booking under a ticket runs once, at the ticket's instance.
+	// Repeats there receive the recorded answer; another instance runs nothing. After
+	// the outage the other instance has the answer too, even once the first is killed.
 	ginkgo.It("run once, at their instance only, and are known after the outage", func() {
 		wld := newWorld(2, "")
 		wld.plt.SetFaults(stand.Faults{Outage: true})
@@ -59,10 +58,10 @@
 		expect(wld.ran(workspace, tck.sub.Key)).To(equal(1))
 	})
 
-	// The instance that a ticket belongs to is killed in the outage. Its
-	// tickets are unknown for good: nobody else runs them. The other one, alone
-	// without the log, goes by its view for so long that it has taken the killed
-	// one for dead before; with the usual 5 s the two ends lie half a second apart.
+	// The ticket's instance is killed during the outage. Its tickets stay unknown: no
+	// other instance runs them. The maximum log age of 20 s lets the other instance
+	// declare the killed one dead before its own view is stale; with the default of
+	// 5 s the two times are half a second apart.
 	ginkgo.It("are unknown when their instance is gone", func() {
 		wld := newWorld(2, "fresh_ms = 20000")
 		wld.plt.SetFaults(stand.Faults{Outage: true})
@@ -73,14 +72,14 @@
 		expect(wld.ran(workspace, tck.sub.Key)).To(equal(1))
 	})
 
-	// The two ways through an outage are compared: callers book under keys, or
-	// under tickets, one instance of three is killed and replaced half way. It
-	// prints what became of the bookings, and how many ran more than once.
-	ginkgo.It("attain more than refusals", func() {
+	// Compares bookings under keys and under tickets in an outage of the log. One of
+	// three instances is killed half way and its callers move to another one. It
+	// prints the outcomes of the bookings; no ticket's booking may run twice.
+	ginkgo.It("complete bookings that are refused under keys", func() {
 		wld := newWorld(3, "")
 		wld.plt.SetFaults(stand.Faults{Outage: true})
 		until(6*time.Second, func() bool {
-			return wld.call(0, "booking", firstBook(fmt.Sprint(time.Now().UnixNano()))).Reason == "log_unavailable"
+			return wld.call(0, "booking", firstBooking(fmt.Sprint(time.Now().UnixNano()))).Reason == "log_unavailable"
 		})
 		keys, tickets := map[string]int{}, map[string]int{}
 		for i := range 120 {
@@ -91,7 +90,7 @@
 			if i >= 60 && node == 2 {
 				node = 0
 			}
-			keys[wld.call(node, "booking", firstBook(fmt.Sprintf("outage-%d", i))).Outcome]++
+			keys[wld.call(node, "booking", firstBooking(fmt.Sprintf("outage-%d", i))).Outcome]++
 			tck := wld.ticket(node, fmt.Sprintf("booking %d", i))
 			tickets[wld.send(tck, tck.addr).Outcome]++
 		}
--- a/internal/entry/world_test.go
+++ b/internal/entry/world_test.go
@@ -31,7 +31,7 @@
 	"amaranthvalve/pkg/ident"
 )
 
-// TestInstances is the entry of all tests with instances in this process.
+// TestInstances runs the specs that start instances in the test process.
 func TestInstances(t *testing.T) {
 	zlog.RedirectLibraries(zerolog.Nop())
 	gomega.RegisterFailHandler(ginkgo.Fail)
@@ -44,13 +44,14 @@
 const workspace = "corella-track"
 
 var (
-	expect   = gomega.Expect
-	equal    = gomega.Equal
-	isTrue   = gomega.BeTrue
-	anything = gomega.HaveOccurred
+	expect       = gomega.Expect
+	equal        = gomega.Equal
+	isTrue       = gomega.BeTrue
+	haveOccurred = gomega.HaveOccurred
 )
 
-// world is a platform, pools and instances in one process, over loopback.
+// world is a test environment of a platform, pools and instances in one process, connected
+// over the loopback interface.
 type world struct {
 	plt      *stand.Platform
 	platform *stand.Server
@@ -61,21 +62,21 @@
 	ath      *peer.Authority
 	key      string
 	ctx      context.Context
-	lines    string
+	settings string
 }
 
-// newWorld starts pools and so many instances and publishes the demo's
-// documents. lines are added to each instance's settings.
+// newWorld starts the pools and the given number of instances and publishes the
+// documents of the demo. lines are appended to the settings of each instance.
 func newWorld(nodes int, lines string) *world {
 	ctx, cancel := context.WithCancel(context.Background())
 	ath, err := peer.NewAuthority()
-	expect(err).NotTo(anything())
+	expect(err).NotTo(haveOccurred())
 	wld := &world{
 		plt: stand.NewPlatform(clock.Clock{}, 3*clock.Day, 100), pools: map[string][]*stand.Endpoint{},
-		servers: map[string]*stand.Server{}, ath: ath, key: ident.NewID(), ctx: ctx, lines: lines,
+		servers: map[string]*stand.Server{}, ath: ath, key: ident.NewID(), ctx: ctx, settings: lines,
 	}
 	wld.platform, err = stand.Serve("127.0.0.1:0", wld.plt.Handler())
-	expect(err).NotTo(anything())
+	expect(err).NotTo(haveOccurred())
 	ginkgo.DeferCleanup(func() {
 		wld.plt.SetFaults(stand.Faults{})
 		for _, nod := range wld.nodes {
@@ -98,14 +99,14 @@
 	for _, service := range []string{"planning", "booking"} {
 		wld.publish(0, service, wld.read(service))
 	}
-	wld.awaitPath()
+	wld.awaitReady()
 	return wld
 }
 
-// read gives one of the demo's documents, with limits that are out of the way.
+// read returns a document of the demo with limits too high to be reached.
 func (wld *world) read(service string) string {
 	text, err := os.ReadFile(filepath.Join("..", "demo", service+".toml"))
-	expect(err).NotTo(anything())
+	expect(err).NotTo(haveOccurred())
 	wide := strings.NewReplacer("requests_per_second = 50", "requests_per_second = 5000", "in_flight = 32", "in_flight = 512")
 	return wide.Replace(string(text))
 }
@@ -113,7 +114,7 @@
 func (wld *world) add(pool string, epts ...*stand.Endpoint) {
 	for _, ept := range epts {
 		srv, err := stand.Serve("127.0.0.1:0", ept.Handler())
-		expect(err).NotTo(anything())
+		expect(err).NotTo(haveOccurred())
 		wld.servers[ept.ID()] = srv
 		wld.pools[pool] = append(wld.pools[pool], ept)
 		inst := wire.Instance{ID: ept.ID(), Addr: srv.Addr(), Pool: pool, Zone: "dc1", State: wire.StateLive}
@@ -122,12 +123,12 @@
 }
 
 // addNode starts an instance that reaches the platform through a relay of its
-// own, so that a test can cut just this one off.
+// own, so that a test can partition this instance alone.
 func (wld *world) addNode() *Node {
 	rly := newRelay(wld.platform.Addr())
 	ginkgo.DeferCleanup(rly.close)
 	fresh := "fresh_ms = 3000"
-	if strings.Contains(wld.lines, "fresh_ms") {
+	if strings.Contains(wld.settings, "fresh_ms") {
 		fresh = ""
 	}
 	text := fmt.Sprintf(`
@@ -141,13 +142,13 @@
 %s
 tls = { cert = "/dev/null", key = "/dev/null", ca = "/dev/null" }
 %s
-`, len(wld.nodes)%2+1, rly.addr(), wld.key, fresh, wld.lines)
+`, len(wld.nodes)%2+1, rly.addr(), wld.key, fresh, wld.settings)
 	set, fts := conf.Parse([]byte(text))
 	expect(set).NotTo(gomega.BeNil(), "%v", fts.Err())
 	nod, err := New(set, wld.keys, zerolog.Nop())
-	expect(err).NotTo(anything())
-	// The seam is set before the link is used; the test then turns the switch.
-	nod.link.Partitioned = func(string) bool { return rly.cut.Load() && rly.peers.Load() }
+	expect(err).NotTo(haveOccurred())
+	// Partitioned is set before the link is used; tests switch it through the relay.
+	nod.link.Partitioned = func(string) bool { return rly.cut.Load() && rly.cutPeers.Load() }
 	nod.Start()
 	wld.nodes = append(wld.nodes, nod)
 	wld.relays = append(wld.relays, rly)
@@ -180,7 +181,7 @@
 	return pub
 }
 
-func (wld *world) awaitPath() {
+func (wld *world) awaitReady() {
 	for _, nod := range wld.nodes {
 		until(8*time.Second, func() bool {
 			st := nod.ctl.Status(wld.ctx)
@@ -189,8 +190,8 @@
 	}
 }
 
-// until waits for a condition, at most for the given time, and fails the test
-// if it does not come.
+// until waits for a condition and returns how long that took. It fails the test if the
+// condition does not hold within the given time.
 func until(most time.Duration, cond func() bool) time.Duration {
 	began := time.Now()
 	gomega.EventuallyWithOffset(1, cond, most, 5*time.Millisecond).Should(isTrue())
@@ -207,24 +208,24 @@
 	return caller.New([]string{addr}, wsp, "", "").CallAt(wld.ctx, addr, service, sub, nil)
 }
 
-func book(key string) wire.Submit {
+func booking(key string) wire.Submit {
 	return wire.Submit{Request: "confirm", Input: "possession " + key, Key: key, ExpiresMs: clock.Clock{}.Now() + clock.Minute}
 }
 
-func firstBook(key string) wire.Submit {
-	sub := book(key)
+func firstBooking(key string) wire.Submit {
+	sub := booking(key)
 	sub.First = true
 	return sub
 }
 
-// ran counts the booking service's executions for a workspace's key.
+// ran counts the executions of the booking service for a workspace's key.
 func (wld *world) ran(wsp, key string) int {
 	return len(slices.DeleteFunc(wld.pools["booking"][0].Executions(), func(exc stand.Execution) bool {
 		return exc.RequestID != wsp+"/booking/"+key
 	}))
 }
 
-// executions counts all that any endpoint ran.
+// executions counts the executions at all endpoints.
 func (wld *world) executions() int {
 	n := 0
 	for _, epts := range wld.pools {
@@ -235,7 +236,7 @@
 	return n
 }
 
-// generated is the whole answer of the planning service.
+// generated returns the complete answer of the planning service.
 func generated(input string, tokens int) string {
 	var text strings.Builder
 	for i := range tokens {
@@ -244,20 +245,20 @@
 	return text.String()
 }
 
-// relay passes TCP connections on until it is cut.
+// relay forwards TCP connections until it is cut.
 type relay struct {
 	lsn    net.Listener
 	target string
 	cut    atomic.Bool
-	// peers tells that the instance is cut off from its peers as well.
-	peers atomic.Bool
-	mtx   sync.Mutex
-	conns []net.Conn
+	// cutPeers is set if a cut partitions the instance from its peers as well.
+	cutPeers atomic.Bool
+	mtx      sync.Mutex
+	conns    []net.Conn
 }
 
 func newRelay(target string) *relay {
 	lsn, err := net.Listen("tcp", "127.0.0.1:0")
-	expect(err).NotTo(anything())
+	expect(err).NotTo(haveOccurred())
 	rly := &relay{lsn: lsn, target: target}
 	go rly.run()
 	return rly
@@ -284,7 +285,7 @@
 	}
 }
 
-// setCut cuts all connections and refuses new ones, or lets them through.
+// setCut closes all connections and refuses new ones, or forwards them again.
 func (rly *relay) setCut(cut bool) {
 	rly.cut.Store(cut)
 	if cut {
@@ -302,8 +303,8 @@
 	rly.setCut(true)
 }
 
-// cutOff cuts an instance off from the log and from all others.
-func (wld *world) cutOff(node int, cut bool) {
-	wld.relays[node].peers.Store(cut)
+// setPartitioned partitions an instance from the platform and from all other instances, or ends that.
+func (wld *world) setPartitioned(node int, cut bool) {
+	wld.relays[node].cutPeers.Store(cut)
 	wld.relays[node].setCut(cut)
 }
