--- a/internal/model/doc.go
+++ b/internal/model/doc.go
@@ -1,17 +1,17 @@
-// Package model has what the system serves, in fake time: model engines as they batch
-// streams and read prompts.
+// Package model simulates language model engines in fake time: continuous batching of streams,
+// chunked prefill of prompts and a prefix cache.
 //
-// It is a model for tests and trials of decisions, with no network and no goroutine. What
-// it leaves out: engines that run out of memory and put requests back, orders, versions,
-// priorities among requests, and copies of memory.
+// It serves tests and trials of scheduling decisions and uses no network and no goroutine. It
+// does not simulate preemption when memory runs out, orders, model versions, priorities of
+// requests, or transfers of cached prefixes between engines.
 //
 // # Engines
 //
-// An engine works in steps. A step makes one token for each stream that it runs, and takes a
-// while that grows a little with their number. While prompts wait, each step also reads a
-// chunk of the first of them, which takes as long as its tokens do and longer the more of the
-// prompt was read before, for attention looks at all of it. So all streams slow down while a
-// prompt is read, and a long prompt slows them most at its end. Tokens leave in events of
-// several. Figures are of a 70-billion-parameter model on two accelerators: 4.2 ms a step,
-// 64 tokens read in a millisecond, 0.65 ms for a million pairs of tokens.
+// An engine works in steps. A step generates one token for each running stream; its duration
+// grows slightly with their number. While prompts are queued, each step also prefills a chunk of
+// the first one. That takes time in proportion to the tokens of the chunk and, since attention
+// covers the whole prefix, to their product with the tokens prefilled before. All streams slow
+// down during a prefill, most at the end of a long prompt. Tokens are sent in events of several.
+// The figures are of a model with 70 billion parameters on two accelerators: 4.2 ms a step, 64
+// tokens prefilled per millisecond, 0.65 ms per million pairs of tokens.
 package model
--- a/internal/model/engine.go
+++ b/internal/model/engine.go
@@ -1,70 +1,70 @@
 package model
 
-// Spec tells how an engine works.
+// Spec has the performance figures of an engine.
 type Spec struct {
-	// Step is the time of a step, Stream what each stream adds, in milliseconds.
-	Step   float64
-	Stream float64
-	// Reads is how many tokens are read in a millisecond, Pairs the milliseconds that a
-	// million pairs of tokens add.
-	Reads float64
-	Pairs float64
-	// Chunk is how many tokens of a prompt a step reads at most, Stride how many tokens
-	// an event holds.
-	Chunk  int
-	Stride int
-	// Slow is how many times as long as planned everything takes.
+	// StepMs is the duration of a step, StreamMs what each running stream adds to it.
+	StepMs   float64
+	StreamMs float64
+	// TokensPerMs is the prefill rate; AttentionMs is added to a prefill for each million
+	// pairs of tokens.
+	TokensPerMs float64
+	AttentionMs float64
+	// ChunkTokens is the maximum number of prompt tokens prefilled in a step, EventTokens
+	// the number of tokens in a stream event.
+	ChunkTokens int
+	EventTokens int
+	// Slow is a factor on the duration of every step.
 	Slow float64
-	// Memory is how many tokens of prompts it keeps.
-	Memory int
+	// CacheTokens is the capacity of the prefix cache.
+	CacheTokens int
 }
 
-// Dense is a model of 70 billion parameters on two accelerators.
+// Dense returns the figures of a model with 70 billion parameters on two accelerators.
 func Dense() Spec {
-	return Spec{Step: 4.23, Stream: 0.0008, Reads: 64.2, Pairs: 0.647, Chunk: 1024, Stride: 5, Slow: 1, Memory: 490_000}
+	return Spec{StepMs: 4.23, StreamMs: 0.0008, TokensPerMs: 64.2, AttentionMs: 0.647, ChunkTokens: 1024, EventTokens: 5, Slow: 1, CacheTokens: 490_000}
 }
 
-// Request is a prompt to be read and an answer to be made.
+// Request is a prompt with the length of its answer.
 type Request struct {
 	ID string
-	// Parts are the names of the prompt's parts that others share, in order, Sizes their
-	// tokens.
+	// Parts are the names of the prompt's parts shared with other prompts, in order, and
+	// Sizes their numbers of tokens.
 	Parts []string
 	Sizes []int
-	// In and Out are the tokens of the prompt and of the answer.
+	// In and Out are the numbers of tokens of the prompt and of the answer.
 	In  int
 	Out int
 }
 
-// Answer is how a request fared, in milliseconds.
+// Answer has the times of a request's stream, in milliseconds.
 type Answer struct {
 	ID string
-	// First is the instant of its first event, End that of the last, Pause the longest
-	// time between two events.
+	// First is the time of the first event, End that of the last one, Pause the maximum
+	// gap between two events.
 	First float64
 	End   float64
 	Pause float64
 }
 
-// work is a request at an engine.
+// work is the state of a request at an engine.
 type work struct {
-	req   Request
-	ahead int
-	left  int
-	made  int
-	last  float64
-	ans   Answer
+	req       Request
+	prefilled int
+	remaining int
+	generated int
+	lastEvent float64
+	ans       Answer
 }
 
-// Engine is one engine. It is made by [NewEngine].
+// Engine is a simulated engine. Use [NewEngine] to create one.
 type Engine struct {
-	spec    Spec
-	now     float64
-	reading []*work
-	running []*work
-	// kept are the prompt parts that it keeps, the latest used last.
-	kept []part
-	// First and Done are told of first events and of ends; they may be nil.
+	spec       Spec
+	now        float64
+	prefilling []*work
+	decoding   []*work
+	// cached is the prefix cache, with the most recently used part last.
+	cached []part
+	// First is called at the first event of a stream and Done at its end; either may be nil.
 	First func(ans Answer)
 	Done  func(ans Answer)
 }
@@ -74,24 +74,24 @@
 	tokens int
 }
 
-// NewEngine returns an engine with nothing to do.
+// NewEngine returns an idle engine.
 func NewEngine(spec Spec) *Engine { return &Engine{spec: spec} }
 
-// Add gives it a request at an instant, which is not before the last step's end.
+// Add submits a request at a given time, not before the end of the last step.
 func (eng *Engine) Add(req Request, now float64) {
-	if len(eng.reading)+len(eng.running) == 0 {
+	if len(eng.prefilling)+len(eng.decoding) == 0 {
 		eng.now = max(eng.now, now)
 	}
-	held := eng.holds(req)
-	eng.keep(req)
-	eng.reading = append(eng.reading, &work{req: req, ahead: held, left: max(req.In-held, 1), ans: Answer{ID: req.ID}})
+	cached := eng.cachedTokens(req)
+	eng.cache(req)
+	eng.prefilling = append(eng.prefilling, &work{req: req, prefilled: cached, remaining: max(req.In-cached, 1), ans: Answer{ID: req.ID}})
 }
 
-// holds gives how many tokens of a prompt's beginning it keeps.
-func (eng *Engine) holds(req Request) int {
+// cachedTokens returns the length of the cached prefix of a prompt, in tokens.
+func (eng *Engine) cachedTokens(req Request) int {
 	sum := 0
 	for i, name := range req.Parts {
-		if !eng.keeps(name) {
+		if !eng.isCached(name) {
 			break
 		}
 		sum += req.Sizes[i]
@@ -99,8 +99,8 @@
 	return sum
 }
 
-func (eng *Engine) keeps(name string) bool {
-	for _, prt := range eng.kept {
+func (eng *Engine) isCached(name string) bool {
+	for _, prt := range eng.cached {
 		if prt.name == name {
 			return true
 		}
@@ -108,12 +108,12 @@
 	return false
 }
 
-// keep moves a prompt's parts to the end of those that are kept, and drops the first ones
-// beyond the memory.
-func (eng *Engine) keep(req Request) {
+// cache adds the parts of a prompt to the cache as the most recently used ones, and evicts
+// the least recently used parts beyond its capacity.
+func (eng *Engine) cache(req Request) {
 	sum := 0
 	var rest []part
-	for _, prt := range eng.kept {
+	for _, prt := range eng.cached {
 		used := false
 		for _, name := range req.Parts {
 			used = used || name == prt.name
@@ -126,53 +126,53 @@
 		rest = append(rest, part{name: name, tokens: req.Sizes[i]})
 	}
 	for i := len(rest) - 1; i >= 0; i-- {
-		if sum += rest[i].tokens; sum > eng.spec.Memory {
+		if sum += rest[i].tokens; sum > eng.spec.CacheTokens {
 			rest = rest[i+1:]
 			break
 		}
 	}
-	eng.kept = rest
+	eng.cached = rest
 }
 
-// Run works until an instant.
+// Run advances the engine to a given time.
 func (eng *Engine) Run(until float64) {
-	for eng.now < until && len(eng.reading)+len(eng.running) > 0 {
+	for eng.now < until && len(eng.prefilling)+len(eng.decoding) > 0 {
 		eng.step()
 	}
-	if len(eng.reading)+len(eng.running) == 0 {
+	if len(eng.prefilling)+len(eng.decoding) == 0 {
 		eng.now = max(eng.now, until)
 	}
 }
 
 func (eng *Engine) step() {
 	spc := eng.spec
-	span := spc.Step + spc.Stream*float64(len(eng.running))
-	var read *work
-	if len(eng.reading) > 0 {
-		read = eng.reading[0]
-		chunk := min(spc.Chunk, read.left)
-		span += float64(chunk)/spc.Reads + spc.Pairs*float64(chunk)*float64(read.ahead)/1e6
-		read.left -= chunk
-		read.ahead += chunk
+	took := spc.StepMs + spc.StreamMs*float64(len(eng.decoding))
+	var reading *work
+	if len(eng.prefilling) > 0 {
+		reading = eng.prefilling[0]
+		chunk := min(spc.ChunkTokens, reading.remaining)
+		took += float64(chunk)/spc.TokensPerMs + spc.AttentionMs*float64(chunk)*float64(reading.prefilled)/1e6
+		reading.remaining -= chunk
+		reading.prefilled += chunk
 	}
-	eng.now += span * max(spc.Slow, 0.01)
-	eng.produce()
-	if read != nil && read.left == 0 {
-		eng.reading = eng.reading[1:]
-		eng.running = append(eng.running, read)
+	eng.now += took * max(spc.Slow, 0.01)
+	eng.decode()
+	if reading != nil && reading.remaining == 0 {
+		eng.prefilling = eng.prefilling[1:]
+		eng.decoding = append(eng.decoding, reading)
 	}
 }
 
-// produce makes a token for each stream.
-func (eng *Engine) produce() {
-	var on []*work
-	for _, wrk := range eng.running {
-		wrk.made++
-		if wrk.made%eng.spec.Stride == 0 || wrk.made >= wrk.req.Out {
-			eng.event(wrk)
+// decode generates a token for each running stream.
+func (eng *Engine) decode() {
+	var active []*work
+	for _, wrk := range eng.decoding {
+		wrk.generated++
+		if wrk.generated%eng.spec.EventTokens == 0 || wrk.generated >= wrk.req.Out {
+			eng.emit(wrk)
 		}
-		if wrk.made < wrk.req.Out {
-			on = append(on, wrk)
+		if wrk.generated < wrk.req.Out {
+			active = append(active, wrk)
 			continue
 		}
 		wrk.ans.End = eng.now
@@ -180,20 +180,20 @@
 			eng.Done(wrk.ans)
 		}
 	}
-	eng.running = on
+	eng.decoding = active
 }
 
-func (eng *Engine) event(wrk *work) {
-	if wrk.last == 0 {
+func (eng *Engine) emit(wrk *work) {
+	if wrk.lastEvent == 0 {
 		wrk.ans.First = eng.now
 		if eng.First != nil {
 			eng.First(wrk.ans)
 		}
 	} else {
-		wrk.ans.Pause = max(wrk.ans.Pause, eng.now-wrk.last)
+		wrk.ans.Pause = max(wrk.ans.Pause, eng.now-wrk.lastEvent)
 	}
-	wrk.last = eng.now
+	wrk.lastEvent = eng.now
 }
 
-// Busy gives the requests that it has.
-func (eng *Engine) Busy() int { return len(eng.reading) + len(eng.running) }
+// Busy returns the number of requests at the engine.
+func (eng *Engine) Busy() int { return len(eng.prefilling) + len(eng.decoding) }
