--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet runs instances in fake time, as far as they tell one another who there is and what
-// facts they have learned: lists of members (package member) and facts (package gossip), over links
-// that lose messages. It is help for tests of what a system decides at a given size.
+// Package fleet simulates the membership protocol (package member) and the dissemination of facts
+// (package gossip) among many instances, in fake time and over links that lose messages. It is for
+// tests of decisions at a given number of instances.
 package fleet
 
 import (
@@ -15,139 +15,141 @@
 )
 
 const (
-	// Step is the way between two instances, and how long facts are gathered for a message.
+	// Step is the time step of the simulation: the latency between two instances and the
+	// interval at which facts are sent.
 	Step = 5 * clock.Milli(1)
-	// tick is the time between two steps of the membership.
-	tick = 100 * clock.Milli(1)
+	// tickInterval is the time between two ticks of the membership protocol.
+	tickInterval = 100 * clock.Milli(1)
 )
 
-// Setup is what a fleet is made of.
+// Setup has the parameters of a fleet.
 type Setup struct {
 	Count int
-	// Lost is the share of messages that links lose.
+	// Lost is the fraction of messages that links lose.
 	Lost float64
 	Seed uint64
-	// Begin is told of each instance that starts; it sets the bounds of its facts.
+	// Begin is called for each instance that starts, to set the bounds of its facts.
 	Begin func(ins *Instance)
 }
 
-// Instance is one of a fleet.
+// Instance is a simulated instance.
 type Instance struct {
-	who    ident.Incarnation
-	list   *member.List
-	spread gossip.Spread
-	cut    bool
-	calm   clock.Milli
-	sent   int
+	id          ident.Incarnation
+	list        *member.List
+	spread      gossip.Spread
+	partitioned bool
+	stableSince clock.Milli
+	sent        int
 }
 
-// Who names the instance.
-func (ins *Instance) Who() ident.Incarnation { return ins.who }
+// Who returns the instance's incarnation.
+func (ins *Instance) Who() ident.Incarnation { return ins.id }
 
-// List has the members that the instance knows.
+// List returns the instance's list of members.
 func (ins *Instance) List() *member.List { return ins.list }
 
-// Spread has the facts that it knows.
+// Spread returns the instance's facts.
 func (ins *Instance) Spread() *gossip.Spread { return &ins.spread }
 
-// Sent counts the messages that it sent.
+// Sent returns the number of messages that the instance has sent.
 func (ins *Instance) Sent() int { return ins.sent }
 
-// Fleet is instances in fake time. It is made by [New].
+// Fleet is a set of instances in fake time. Use [New] to create one.
 type Fleet struct {
 	set   Setup
 	rng   *rand.Rand
 	now   clock.Milli
 	boots int
 	insts []*Instance
-	byWho map[ident.Incarnation]*Instance
+	byID  map[ident.Incarnation]*Instance
 }
 
-// New returns a fleet whose instances know one another.
+// New returns a fleet whose instances all know each other.
 func New(set Setup) *Fleet {
 	flt := &Fleet{set: set, rng: rand.New(rand.NewPCG(set.Seed, 1)), now: clock.Hour, insts: make([]*Instance, set.Count)}
 	flt.RestartAll()
 	return flt
 }
 
-// Now gives the present instant.
+// Now returns the current fake time.
 func (flt *Fleet) Now() clock.Milli { return flt.now }
 
-// Instances gives those that run.
+// Instances returns the running instances.
 func (flt *Fleet) Instances() []*Instance { return flt.insts }
 
-// Any gives one of those that run.
+// Any returns a random running instance.
 func (flt *Fleet) Any() *Instance { return flt.insts[flt.rng.IntN(len(flt.insts))] }
 
-// Find gives an instance by its name; nil if it has ended.
-func (flt *Fleet) Find(who ident.Incarnation) *Instance { return flt.byWho[who] }
+// Find returns the running instance with the given incarnation, or nil.
+func (flt *Fleet) Find(id ident.Incarnation) *Instance { return flt.byID[id] }
 
 func (flt *Fleet) start(i int) *Instance {
-	who := ident.Incarnation(fmt.Sprintf("10.0.%d.%d:1#%d", i/250, i%250, flt.boots))
-	ins := &Instance{who: who, list: member.New(who, "dc1", "", flt.now), calm: flt.now}
+	id := ident.Incarnation(fmt.Sprintf("10.0.%d.%d:1#%d", i/250, i%250, flt.boots))
+	ins := &Instance{id: id, list: member.New(id, "dc1", "", flt.now), stableSince: flt.now}
 	flt.set.Begin(ins)
 	return ins
 }
 
-// Restart ends some instances, and starts others in their places that hear of all from one that
-// goes on.
+// Restart replaces the selected instances. The new ones learn the members from an instance that
+// keeps running.
 func (flt *Fleet) Restart(which func(i int) bool) {
 	flt.boots++
-	var goesOn *Instance
+	var survivor *Instance
 	for i, ins := range flt.insts {
 		if !which(i) {
-			goesOn = ins
+			survivor = ins
 		}
 	}
 	for i, ins := range flt.insts {
 		if which(i) {
-			delete(flt.byWho, ins.who)
+			delete(flt.byID, ins.id)
 			flt.insts[i] = flt.start(i)
-			flt.insts[i].list.Merge(goesOn.list.AllUpdates(), flt.now)
-			flt.byWho[flt.insts[i].who] = flt.insts[i]
+			flt.insts[i].list.Merge(survivor.list.AllUpdates(), flt.now)
+			flt.byID[flt.insts[i].id] = flt.insts[i]
 		}
 	}
 }
 
-// RestartAll ends all instances, and starts others that know one another from the store.
+// RestartAll replaces all instances. The new ones know each other, as from the store.
 func (flt *Fleet) RestartAll() {
 	flt.boots++
-	flt.byWho = map[ident.Incarnation]*Instance{}
+	flt.byID = map[ident.Incarnation]*Instance{}
 	for i := range flt.insts {
 		flt.insts[i] = flt.start(i)
-		flt.byWho[flt.insts[i].who] = flt.insts[i]
+		flt.byID[flt.insts[i].id] = flt.insts[i]
 	}
 	for _, ins := range flt.insts {
 		for _, oth := range flt.insts {
-			ins.list.Merge([]member.Update{{ID: oth.who, Zone: "dc1", Seq: 1}}, flt.now)
+			ins.list.Merge([]member.Update{{ID: oth.id, Zone: "dc1", Seq: 1}}, flt.now)
 		}
 	}
 }
 
-// Cut cuts an instance off from all others, or ends that.
+// Cut partitions an instance from all others, or ends its partition.
 func (flt *Fleet) Cut(ins *Instance, cut bool) {
-	if ins.cut != cut {
-		ins.cut, ins.calm = cut, flt.now
+	if ins.partitioned != cut {
+		ins.partitioned, ins.stableSince = cut, flt.now
 	}
 }
 
-// IsCalm tells whether an instance runs and was not cut off for so long.
+// IsCalm reports whether an instance is not partitioned, and neither started nor changed that
+// within the given time.
 func (flt *Fleet) IsCalm(ins *Instance, within clock.Milli) bool {
-	return !ins.cut && flt.now-ins.calm >= within
+	return !ins.partitioned && flt.now-ins.stableSince >= within
 }
 
-// Reaches tells whether a message gets from one instance to another; the latter is nil if it has
-// ended.
+// Reaches counts a message as sent and reports whether it arrives. The receiver is nil if it no
+// longer runs.
 func (flt *Fleet) Reaches(from, to *Instance) bool {
 	from.sent++
-	return to != nil && !from.cut && !to.cut && flt.rng.Float64() >= flt.set.Lost
+	return to != nil && !from.partitioned && !to.partitioned && flt.rng.Float64() >= flt.set.Lost
 }
 
-// Run lets a span pass; each is called at each step, and may be nil.
+// Run advances the fake time by a span; each is called after every step and may be nil.
 func (flt *Fleet) Run(span clock.Milli, each func()) {
 	for end := flt.now + span; flt.now < end; flt.now += Step {
-		flt.deliver()
-		if flt.now%tick == 0 {
+		flt.flush()
+		if flt.now%tickInterval == 0 {
 			for _, ins := range flt.insts {
 				for _, act := range ins.list.Tick(flt.now) {
 					flt.probe(ins, act.Target)
@@ -160,8 +162,8 @@
 	}
 }
 
-// deliver has all instances tell their neighbours what is fresh.
-func (flt *Fleet) deliver() {
+// flush sends the new facts of all instances to their neighbours.
+func (flt *Fleet) flush() {
 	type message struct {
 		from  *Instance
 		to    ident.Incarnation
@@ -170,36 +172,37 @@
 	var all []message
 	for _, ins := range flt.insts {
 		for _, part := range ins.spread.Flush() {
-			for _, who := range ins.list.Neighbours() {
-				all = append(all, message{ins, who, part})
+			for _, id := range ins.list.Neighbours() {
+				all = append(all, message{ins, id, part})
 			}
 		}
 	}
 	for _, msg := range all {
-		if to := flt.byWho[msg.to]; flt.Reaches(msg.from, to) {
+		if to := flt.byID[msg.to]; flt.Reaches(msg.from, to) {
 			to.spread.Receive(msg.facts, to.list.IsMesh(), flt.now)
 		}
 	}
 }
 
-// probe has an instance probe another one, with all that travels beside.
-func (flt *Fleet) probe(ins *Instance, who ident.Incarnation) {
-	oth := flt.byWho[who]
-	if oth == nil && slices.ContainsFunc(flt.insts, func(next *Instance) bool { return next.who.Addr() == who.Addr() }) {
-		// The process that is there now answers in its own name.
-		ins.list.MarkReplaced(who, flt.now)
+// probe makes an instance probe another one, with the membership updates and facts that are
+// piggybacked on probe and answer.
+func (flt *Fleet) probe(ins *Instance, id ident.Incarnation) {
+	oth := flt.byID[id]
+	if oth == nil && slices.ContainsFunc(flt.insts, func(next *Instance) bool { return next.id.Addr() == id.Addr() }) {
+		// The process now at this address answers with its own incarnation.
+		ins.list.MarkReplaced(id, flt.now)
 		return
 	}
 	if !flt.Reaches(ins, oth) {
 		return
 	}
-	oth.list.Merge(ins.list.Updates(oth.who), flt.now)
+	oth.list.Merge(ins.list.Updates(oth.id), flt.now)
 	answer, digest := oth.spread.Delta(ins.spread.Digest(), flt.now), oth.spread.Digest()
 	if !flt.Reaches(oth, ins) {
 		return
 	}
-	ins.list.Merge(oth.list.Updates(ins.who), flt.now)
-	ins.list.Ack(oth.who, flt.now)
+	ins.list.Merge(oth.list.Updates(ins.id), flt.now)
+	ins.list.Ack(oth.id, flt.now)
 	ins.spread.Receive(answer, ins.list.IsMesh(), flt.now)
 	if more := ins.spread.Delta(digest, flt.now); len(more) > 0 && flt.Reaches(ins, oth) {
 		oth.spread.Receive(more, oth.list.IsMesh(), flt.now)
