--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -97,7 +97,7 @@
 		}
 		nod.link.OnRefused = func(err error) {
 			nod.mtr.CountEvent(meter.EventPeerRefused)
-			nod.log.Warn().Err(err).Msg("a peer was refused")
+			nod.log.Warn().Err(err).Msg("peer connection refused")
 		}
 		addr = nod.link.Addr()
 		if nod.set.PeerAdvertise() != nod.set.PeerAddr() {
