--- a/internal/trial/plan.go
+++ b/internal/trial/plan.go
@@ -5,43 +5,48 @@
 	"amaranthvalve/pkg/route"
 )
 
-// Policy is a way to decide.
+// Policy is a combination of routing, admission and retry rules.
 type Policy struct {
-	Name      string
-	Route     route.Baseline
+	Name     string
+	Baseline route.Baseline
+	// Admission refuses requests that can't be in time, and orders the queue; without it the queue
+	// is first in, first out.
 	Admission bool
-	Bounded   bool
-	// Cost makes the owner's weight "cost": fewer retries. Mean admits by the
-	// mean of the measured needs.
-	Cost bool
-	Mean bool
+	// BoundedRetries limits retries by attempts and by the retry budget.
+	BoundedRetries bool
+	// WeighsCost sets the owner's weight to "cost", which allows fewer retries.
+	WeighsCost bool
+	// AdmitsByMean uses the mean of the measured service times for admission instead of their
+	// upper bound.
+	AdmitsByMean bool
 }
 
-// Policies lists the daemon's own ways and the plain baselines.
+// Policies lists the gateway's own policies and the baselines.
 func Policies() []Policy {
 	return []Policy{
-		{Name: "own, weighs attainment", Route: route.Full, Admission: true, Bounded: true},
-		{Name: "own, weighs cost", Route: route.Full, Admission: true, Bounded: true, Cost: true},
-		{Name: "own, with load reports", Route: route.Reports, Admission: true, Bounded: true},
-		{Name: "own, no prefixes", Route: route.NoPrefix, Admission: true, Bounded: true},
-		{Name: "random within the limits", Route: route.Within, Admission: true, Bounded: true},
-		{Name: "random", Route: route.Random, Admission: true, Bounded: true},
-		{Name: "round robin", Route: route.RoundRobin, Admission: true, Bounded: true},
-		{Name: "least reported load", Route: route.LeastReported, Admission: true, Bounded: true},
-		{Name: "own, admits by the mean", Route: route.Full, Admission: true, Bounded: true, Mean: true},
-		{Name: "own, no admission", Route: route.Full, Bounded: true},
-		{Name: "own, unlimited retries", Route: route.Full, Admission: true},
-		{Name: "random, no admission, unlimited", Route: route.Random},
+		{Name: "own, weighs attainment", Baseline: route.Full, Admission: true, BoundedRetries: true},
+		{Name: "own, weighs cost", Baseline: route.Full, Admission: true, BoundedRetries: true, WeighsCost: true},
+		{Name: "own, with load reports", Baseline: route.Reports, Admission: true, BoundedRetries: true},
+		{Name: "own, no prefixes", Baseline: route.NoPrefix, Admission: true, BoundedRetries: true},
+		{Name: "random within the limits", Baseline: route.Within, Admission: true, BoundedRetries: true},
+		{Name: "random", Baseline: route.Random, Admission: true, BoundedRetries: true},
+		{Name: "round robin", Baseline: route.RoundRobin, Admission: true, BoundedRetries: true},
+		{Name: "least reported load", Baseline: route.LeastReported, Admission: true, BoundedRetries: true},
+		{Name: "own, admits by the mean", Baseline: route.Full, Admission: true, BoundedRetries: true, AdmitsByMean: true},
+		{Name: "own, no admission", Baseline: route.Full, BoundedRetries: true},
+		{Name: "own, unlimited retries", Baseline: route.Full, Admission: true},
+		{Name: "random, no admission, unlimited", Baseline: route.Random},
 	}
 }
 
 // stagePlan is one stage of a service.
 type stagePlan struct {
-	pool   string
-	prefix bool
+	pool string
+	// hasPrompt is set if the stage generates from a prompt, whose prefix engines cache.
+	hasPrompt bool
 }
 
-// servicePlan is a service with its share of the arrivals.
+// servicePlan is a service with its share of the requests.
 type servicePlan struct {
 	name     string
 	priority int
@@ -50,22 +55,25 @@
 	stages   []stagePlan
 }
 
-// poolPlan is a pool of endpoints.
+// poolPlan is a pool of endpoints. An endpoint takes baseMs for a request when it is otherwise
+// idle, and has the given number of slots.
 type poolPlan struct {
 	name    string
 	servers int
-	places  int
+	slots   int
 	baseMs  float64
 }
 
-// workspacePlan is a workspace with its share of the arrivals.
+// workspacePlan is a workspace with its share of the requests; its weight is its share of the queue.
 type workspacePlan struct {
 	name   string
 	share  float64
 	weight int
 }
 
-// Deployment is one of the brief's two, at today's size.
+// Deployment is a modelled deployment. The workspace and the service that results report
+// separately, the smallest and the one of the highest priority, must be the last of their lists;
+// the first workspace is the one that sends bursts.
 type Deployment struct {
 	Name       string
 	instances  int
@@ -76,10 +84,10 @@
 }
 
 func ragStages(pool string) []stagePlan {
-	return []stagePlan{{pool: "encoders"}, {pool: "retrievers"}, {pool: "rerankers"}, {pool: pool, prefix: true}}
+	return []stagePlan{{pool: "encoders"}, {pool: "retrievers"}, {pool: "rerankers"}, {pool: pool, hasPrompt: true}}
 }
 
-// Deployments gives Corella and Shiretoko.
+// Deployments returns the two modelled deployments, Corella and Shiretoko, at their present sizes.
 func Deployments() []Deployment {
 	return []Deployment{
 		{
@@ -128,51 +136,52 @@
 	}
 }
 
-// Scenario is a load and what goes wrong.
+// Scenario is a load with the faults that occur under it.
 type Scenario struct {
 	Name string
-	// Load is the arrivals in parts of what the bottleneck can do.
+	// Load is the request rate as a multiple of the capacity of the bottleneck pool.
 	Load float64
-	// reportLag is how old reports are; piggyback tells whether answers carry
-	// newer ones.
-	reportLag clock.Milli
-	stale     bool
-	// at is called at the start, to plan what goes wrong.
-	at func(run *run)
+	// reportLag is the age of load reports on arrival, at least minReportLag. With noPiggyback,
+	// responses carry no newer reports.
+	reportLag   clock.Milli
+	noPiggyback bool
+	// planFaults is called at the start and schedules the faults; nil for none.
+	planFaults func(run *run)
 }
 
+// Faults last from faultStart to faultEnd, requests arrive until arrivalTime.
 const (
-	faultFrom = 15 * clock.Second
-	faultTo   = 45 * clock.Second
-	runFor    = 60 * clock.Second
-	usualLag  = 500 * clock.Milli(1)
+	faultStart   = 15 * clock.Second
+	faultEnd     = 45 * clock.Second
+	arrivalTime  = 60 * clock.Second
+	minReportLag = 500 * clock.Milli(1)
 )
 
-// Scenarios lists the loads and the faults.
+// Scenarios lists the loads without faults, and the faults.
 func Scenarios() []Scenario {
-	during := func(begin, end func(run *run)) func(run *run) {
+	faults := func(begin, end func(run *run)) func(run *run) {
 		return func(run *run) {
-			run.tln.after(faultFrom, func() { begin(run) })
-			run.tln.after(faultTo, func() { end(run) })
+			run.tln.after(faultStart, func() { begin(run) })
+			run.tln.after(faultEnd, func() { end(run) })
 		}
 	}
-	one := func(change func(srv *server, on bool)) func(run *run) {
-		return during(
-			func(run *run) { change(run.weak(0), true) },
-			func(run *run) { change(run.weak(0), false) },
+	bottleneckFault := func(change func(srv *server, on bool)) func(run *run) {
+		return faults(
+			func(run *run) { change(run.bottleneckServer(0), true) },
+			func(run *run) { change(run.bottleneckServer(0), false) },
 		)
 	}
 	slowAll := func(factor float64) func(run *run) {
 		return func(run *run) {
 			for _, srv := range run.pools["rerankers"] {
-				srv.factor = factor
+				srv.slowdown = factor
 			}
 		}
 	}
-	failing := func(share float64) func(run *run) {
+	failingAll := func(share float64) func(run *run) {
 		return func(run *run) {
 			for _, srv := range run.pools["rerankers"] {
-				srv.failing = share
+				srv.failureShare = share
 			}
 		}
 	}
@@ -181,33 +190,33 @@
 		{Name: "load 0.9", Load: .9},
 		{Name: "load 1.2", Load: 1.2},
 		{Name: "load 2.0", Load: 2},
-		{Name: "a stage ten times slower, load 0.6", Load: .6, at: during(slowAll(10), slowAll(1))},
-		{Name: "a stage fails half its calls, load 0.9", Load: .9, at: during(failing(.5), failing(0))},
-		{Name: "an engine ten times slower, load 0.6", Load: .6, at: one(func(srv *server, on bool) { srv.slow(on) })},
-		{Name: "an engine fails at once, load 0.6", Load: .6, at: one(func(srv *server, on bool) { srv.dead = on })},
-		{Name: "an engine freezes, load 0.6", Load: .6, at: one(func(srv *server, on bool) { srv.freeze(on) })},
-		{Name: "an engine leaves, load 0.6", Load: .6, at: func(run *run) {
-			run.tln.after(faultFrom, func() { run.weak(0).leaving = true })
+		{Name: "a stage ten times slower, load 0.6", Load: .6, planFaults: faults(slowAll(10), slowAll(1))},
+		{Name: "a stage fails half its calls, load 0.9", Load: .9, planFaults: faults(failingAll(.5), failingAll(0))},
+		{Name: "an engine ten times slower, load 0.6", Load: .6, planFaults: bottleneckFault(func(srv *server, on bool) { srv.setSlow(on) })},
+		{Name: "an engine fails at once, load 0.6", Load: .6, planFaults: bottleneckFault(func(srv *server, on bool) { srv.failsAtOnce = on })},
+		{Name: "an engine freezes, load 0.6", Load: .6, planFaults: bottleneckFault(func(srv *server, on bool) { srv.setFrozen(on) })},
+		{Name: "an engine leaves, load 0.6", Load: .6, planFaults: func(run *run) {
+			run.tln.after(faultStart, func() { run.bottleneckServer(0).leaving = true })
 		}},
-		{Name: "the largest workspace bursts fourfold, load 0.6", Load: .6, at: during(
+		{Name: "the largest workspace bursts fourfold, load 0.6", Load: .6, planFaults: faults(
 			func(run *run) { run.burst = 4 }, func(run *run) { run.burst = 1 },
 		)},
-		{Name: "reports 5 s old, load 0.9", Load: .9, reportLag: 5 * clock.Second, stale: true},
+		{Name: "reports 5 s old, load 0.9", Load: .9, reportLag: 5 * clock.Second, noPiggyback: true},
 	}
 }
 
-func (srv *server) slow(on bool) {
-	srv.factor = 1
+func (srv *server) setSlow(on bool) {
+	srv.slowdown = 1
 	if on {
-		srv.factor = 10
+		srv.slowdown = 10
 	}
 }
 
-func (srv *server) freeze(on bool) {
+func (srv *server) setFrozen(on bool) {
 	srv.frozen = on
 	if !on {
-		// What it held was given up long ago.
+		// The attempts that were running have been canceled meanwhile.
 		srv.running = nil
-		srv.next()
+		srv.startNext()
 	}
 }
--- a/internal/trial/request.go
+++ b/internal/trial/request.go
@@ -7,7 +7,7 @@
 	"amaranthvalve/pkg/route"
 )
 
-// request is one request on its way; it follows stage.Runner step by step.
+// request is one request in flight. Its steps follow those of stage.Runner.
 type request struct {
 	ins      *instance
 	wsp      workspacePlan
@@ -16,38 +16,39 @@
 	deadline clock.Milli
 	prefix   uint64
 	stage    int
-	tries    int
+	attempts int
 	avoid    []string
-	over     bool
-	cur      *work
+	ended    bool
+	current  *work
 	ep       route.Endpoint
 	ticket   *admit.Ticket
 	sentAt   clock.Milli
 }
 
-func (req *request) run() *run              { return req.ins.run }
-func (req *request) now() clock.Milli       { return req.run().tln.now }
-func (req *request) pool() string           { return req.svc.stages[req.stage].pool }
-func (req *request) gate() *admit.Gate      { return req.ins.gates[req.pool()] }
-func (req *request) left() clock.Milli      { return req.deadline - req.now() }
-func (req *request) need() *admit.Estimator { return req.ins.need(req.svc, req.stage) }
-func (req *request) guess() clock.Milli     { return req.run().guess(req.pool()) }
+func (req *request) run() *run                    { return req.ins.run }
+func (req *request) now() clock.Milli             { return req.run().tln.now }
+func (req *request) pool() string                 { return req.svc.stages[req.stage].pool }
+func (req *request) gate() *admit.Gate            { return req.ins.gates[req.pool()] }
+func (req *request) remaining() clock.Milli       { return req.deadline - req.now() }
+func (req *request) estimator() *admit.Estimator  { return req.ins.estimator(req.svc, req.stage) }
+func (req *request) initialEstimate() clock.Milli { return req.run().initialEstimate(req.pool()) }
 
-func (req *request) bounds() retry.Bounds { return retry.BoundsFor(req.run().pol.Cost) }
+func (req *request) bounds() retry.Bounds { return retry.BoundsFor(req.run().pol.WeighsCost) }
 
-func (req *request) ask(need clock.Milli) admit.Ask {
-	return admit.Ask{Workspace: req.wsp.name, Share: req.wsp.weight, Priority: req.svc.priority, Deadline: req.deadline, Estimate: need}
+func (req *request) admissionAsk(estimate clock.Milli) admit.Ask {
+	return admit.Ask{Workspace: req.wsp.name, Share: req.wsp.weight, Priority: req.svc.priority, Deadline: req.deadline, Estimate: estimate}
 }
 
-// later adds up the typical needs of the stages from i on.
-func (req *request) later(i int) clock.Milli {
+// upperEstimate sums the service time estimates of the stages from i on: upper bounds, or means if
+// the policy admits by the mean.
+func (req *request) upperEstimate(i int) clock.Milli {
 	sum := clock.Milli(0)
 	for ; i < len(req.svc.stages); i++ {
-		ned, guess := req.ins.need(req.svc, i), req.run().guess(req.svc.stages[i].pool)
-		if req.run().pol.Mean {
-			sum += ned.Mean(guess, req.now())
+		est, initial := req.ins.estimator(req.svc, i), req.run().initialEstimate(req.svc.stages[i].pool)
+		if req.run().pol.AdmitsByMean {
+			sum += est.Mean(initial, req.now())
 		} else {
-			sum += ned.Upper(guess, req.now())
+			sum += est.Upper(initial, req.now())
 		}
 	}
 	return sum
@@ -58,31 +59,32 @@
 	if req.run().pol.Admission {
 		wait := clock.Milli(0)
 		for i := range req.svc.stages {
-			wait += req.ins.gates[req.svc.stages[i].pool].Queue().EstimateWait(req.ask(0))
+			wait += req.ins.gates[req.svc.stages[i].pool].Queue().EstimateWait(req.admissionAsk(0))
 		}
-		if wait+req.later(0) > req.left() {
+		if wait+req.upperEstimate(0) > req.remaining() {
 			req.end("deadline_too_short")
 			return
 		}
 	}
-	req.enter()
+	req.beginStage()
 }
 
-// enter begins a stage.
-func (req *request) enter() {
-	req.tries, req.avoid = 0, nil
+// beginStage begins the current stage.
+func (req *request) beginStage() {
+	req.attempts, req.avoid = 0, nil
 	req.gate().RecordAttempt()
 	req.acquire()
 }
 
+// acquire sends the request to an endpoint, queues it, or ends it if it is refused.
 func (req *request) acquire() {
-	where := route.Ask{Avoid: req.avoid}
-	if req.svc.stages[req.stage].prefix {
-		where.Prefix = req.prefix
+	ask := route.Ask{Avoid: req.avoid}
+	if req.svc.stages[req.stage].hasPrompt {
+		ask.Prefix = req.prefix
 	}
-	ep, tkt, ans := req.gate().Enter(where, req.ask(req.later(req.stage)), req.now(), func(ep route.Endpoint, word admit.Outcome) {
+	ep, tkt, ans := req.gate().Enter(ask, req.admissionAsk(req.upperEstimate(req.stage)), req.now(), func(ep route.Endpoint, out admit.Outcome) {
 		req.ticket = nil
-		switch word {
+		switch out {
 		case admit.Served:
 			req.send(ep)
 		case admit.Displaced:
@@ -106,125 +108,128 @@
 }
 
 func (req *request) send(ep route.Endpoint) {
-	if req.over {
+	if req.ended {
 		req.gate().Finish(ep.ID, route.Cancelled, 0, req.now())
 		return
 	}
 	rnn := req.run()
-	req.tries++
+	req.attempts++
 	req.ep, req.sentAt = ep, req.now()
 	wrk := &work{}
-	if req.svc.stages[req.stage].prefix {
+	if req.svc.stages[req.stage].hasPrompt {
 		wrk.prefix = req.prefix
 	}
-	req.cur = wrk
-	wrk.done = func(ok bool, engine clock.Milli) { req.answered(wrk, ok, engine) }
+	req.current = wrk
+	wrk.done = func(ok bool, engine clock.Milli) { req.attemptEnded(wrk, ok, engine) }
 	switch {
 	case wrk.prefix != 0:
-		rnn.tln.after(max(stall, patience*req.ins.first.Upper(stall/4, req.now())), func() { req.stalled(wrk) })
-	case req.tries < req.bounds().Attempts():
-		allow := max(minPatience, patience*req.need().Upper(req.guess(), req.now()))
-		rnn.tln.after(allow, func() { req.impatient(wrk) })
+		rnn.tln.after(max(stallTimeout, slowFactor*req.ins.firstToken.Upper(stallTimeout/4, req.now())), func() { req.cancelIfStalled(wrk) })
+	case req.attempts < req.bounds().Attempts():
+		allow := max(minSlowDelay, slowFactor*req.estimator().Upper(req.initialEstimate(), req.now()))
+		rnn.tln.after(allow, func() { req.cancelIfSlow(wrk) })
 	}
 	for _, srv := range rnn.pools[req.pool()] {
 		if srv.id == ep.ID {
-			rnn.res.attempts++
-			srv.take(wrk)
+			rnn.res.attemptCount++
+			srv.submit(wrk)
 		}
 	}
 }
 
-// answered is told of the end of the present attempt.
-func (req *request) answered(wrk *work, ok bool, engine clock.Milli) {
+// attemptEnded handles the end of the current attempt: it goes on with the next stage, or retries if
+// the attempt failed.
+func (req *request) attemptEnded(wrk *work, ok bool, engine clock.Milli) {
 	took := req.now() - req.sentAt
-	req.run().res.cost(req.pool(), engine)
-	req.cur = nil
+	req.run().res.addCost(req.pool(), engine)
+	req.current = nil
 	if !ok {
-		req.run().res.waste(engine)
+		req.run().res.addWaste(engine)
 		req.gate().Finish(req.ep.ID, route.Failure, took, req.now())
-		req.again()
+		req.retryElsewhere()
 		return
 	}
 	req.gate().Finish(req.ep.ID, route.Success, took, req.now())
-	if !req.run().scn.stale {
+	if !req.run().scn.noPiggyback {
 		req.gate().Pool().Report(req.ep.ID, wrk.srv.load(), req.now())
 	}
 	if wrk.srv.leaving {
 		req.gate().Pool().Leave(req.ep.ID)
 	}
-	req.need().Sample(took, req.now())
+	req.estimator().Sample(took, req.now())
 	if wrk.prefix != 0 {
-		req.ins.first.Sample(wrk.began-req.sentAt, req.now())
+		req.ins.firstToken.Sample(wrk.startedAt-req.sentAt, req.now())
 	}
-	req.run().res.spent(req, engine)
+	req.run().res.addPartial(req, engine)
 	req.stage++
 	if req.stage == len(req.svc.stages) {
 		req.end("")
 		return
 	}
-	req.enter()
+	req.beginStage()
 }
 
-// impatient gives an attempt up that outlasts its allowance.
-func (req *request) impatient(wrk *work) {
-	if req.over || req.cur != wrk || wrk.over {
+// cancelIfSlow cancels an attempt that is still running at the end of its allowed time.
+func (req *request) cancelIfSlow(wrk *work) {
+	if req.ended || req.current != wrk || wrk.ended {
 		return
 	}
-	req.giveUp(route.Overload)
-	req.need().Sample(req.now()-req.sentAt, req.now())
-	req.again()
+	req.cancelAttempt(route.Overload)
+	req.estimator().Sample(req.now()-req.sentAt, req.now())
+	req.retryElsewhere()
 }
 
-// stalled looks whether a generation gives tokens, again and again.
-func (req *request) stalled(wrk *work) {
-	if req.over || req.cur != wrk || wrk.over {
+// cancelIfStalled cancels a generation that produces no tokens, and otherwise checks again after
+// stallTimeout.
+func (req *request) cancelIfStalled(wrk *work) {
+	if req.ended || req.current != wrk || wrk.ended {
 		return
 	}
-	if wrk.busy && !wrk.srv.frozen {
-		req.run().tln.after(stall, func() { req.stalled(wrk) })
+	if wrk.started && !wrk.srv.frozen {
+		req.run().tln.after(stallTimeout, func() { req.cancelIfStalled(wrk) })
 		return
 	}
-	req.giveUp(route.Failure)
-	req.again()
+	req.cancelAttempt(route.Failure)
+	req.retryElsewhere()
 }
 
-// giveUp cancels the present attempt and counts what it has cost.
-func (req *request) giveUp(ver route.Outcome) {
-	cost := req.cur.cancel()
-	req.cur = nil
-	req.run().res.cost(req.pool(), cost)
-	req.run().res.waste(cost)
-	req.gate().Finish(req.ep.ID, ver, req.now()-req.sentAt, req.now())
+// cancelAttempt cancels the current attempt and counts the endpoint time that it has cost.
+func (req *request) cancelAttempt(out route.Outcome) {
+	cost := req.current.cancel()
+	req.current = nil
+	req.run().res.addCost(req.pool(), cost)
+	req.run().res.addWaste(cost)
+	req.gate().Finish(req.ep.ID, out, req.now()-req.sentAt, req.now())
 }
 
-func (req *request) again() {
-	if req.tries >= req.bounds().Attempts() && req.run().pol.Bounded || !req.gate().TakeRetry(req.bounds()) {
+// retryElsewhere starts another attempt at another endpoint, if the policy allows one.
+func (req *request) retryElsewhere() {
+	if req.attempts >= req.bounds().Attempts() && req.run().pol.BoundedRetries || !req.gate().TakeRetry(req.bounds()) {
 		req.end("stage_failed")
 		return
 	}
-	req.run().res.retries++
+	req.run().res.retryCount++
 	req.avoid = append(req.avoid, req.ep.ID)
 	req.acquire()
 }
 
 // expire ends a request whose deadline has passed.
 func (req *request) expire() {
-	if req.over {
+	if req.ended {
 		return
 	}
 	if req.ticket != nil {
 		req.gate().Queue().Leave(req.ticket)
 	}
-	if req.cur != nil {
-		req.giveUp(route.Overload)
+	if req.current != nil {
+		req.cancelAttempt(route.Overload)
 	}
 	req.end("deadline_passed")
 }
 
 func (req *request) end(reason string) {
-	if req.over {
+	if req.ended {
 		return
 	}
-	req.over = true
-	req.run().res.ended(req, reason)
+	req.ended = true
+	req.run().res.recordEnd(req, reason)
 }
--- a/internal/trial/run.go
+++ b/internal/trial/run.go
@@ -9,15 +9,18 @@
 	"amaranthvalve/pkg/route"
 )
 
-// Constants that follow package stage.
+// Constants of internal/stage, and of the simulation.
 const (
-	patience    = 4
-	minPatience = 250 * clock.Milli(1)
-	tickEvery   = 50 * clock.Milli(1)
-	prefixes    = 40
-	// stall is how long a generation may give no sign before it is taken up
-	// elsewhere.
-	stall = clock.Second
+	// slowFactor times the upper bound of a stage's time is how long an attempt may take before
+	// it is retried elsewhere, and never less than minSlowDelay.
+	slowFactor   = 4
+	minSlowDelay = 250 * clock.Milli(1)
+	// tickInterval is the interval at which gates are updated.
+	tickInterval = 50 * clock.Milli(1)
+	// prefixCount is the number of different prompts.
+	prefixCount = 40
+	// stallTimeout is how long a generation may produce nothing before it is retried elsewhere.
+	stallTimeout = clock.Second
 )
 
 // run is one scenario under one policy.
@@ -33,38 +36,39 @@
 	res   *Result
 }
 
-// instance is what one instance knows: a gate a pool, and measured needs.
+// instance is the state of one instance: a gate for each pool, and measured service times.
 type instance struct {
-	run   *run
-	gates map[string]*admit.Gate
-	needs map[string]*admit.Estimator
-	// first is the time to a generation's first token.
-	first admit.Estimator
+	run        *run
+	gates      map[string]*admit.Gate
+	estimators map[string]*admit.Estimator
+	// firstToken estimates the time to a generation's first token.
+	firstToken admit.Estimator
 }
 
-// Measure runs a scenario under a policy.
+// Measure runs a scenario under a policy. The result depends only on its arguments.
 func Measure(dpl Deployment, scn Scenario, pol Policy, seed uint64) Result {
 	rnn := &run{
 		dpl: dpl, scn: scn, pol: pol, rng: rand.New(rand.NewPCG(seed, 7)), pools: map[string][]*server{},
 		burst: 1, res: newResult(dpl, scn, pol),
 	}
 	rnn.build()
-	if scn.at != nil {
-		scn.at(rnn)
+	if scn.planFaults != nil {
+		scn.planFaults(rnn)
 	}
-	rnn.arrive()
-	rnn.tln.run(runFor + 10*clock.Second)
+	rnn.nextArrival()
+	rnn.tln.run(arrivalTime + 10*clock.Second)
 	return *rnn.res
 }
 
-func (rnn *run) weak(i int) *server { return rnn.pools[rnn.dpl.bottleneck][i] }
+// bottleneckServer returns the i-th server of the pool that limits the deployment's capacity.
+func (rnn *run) bottleneckServer(i int) *server { return rnn.pools[rnn.dpl.bottleneck][i] }
 
 func (rnn *run) build() {
 	for _, pln := range rnn.dpl.pools {
 		for i := range pln.servers {
 			srv := &server{
 				tln: &rnn.tln, id: fmt.Sprintf("%s-%d", pln.name, i), pool: pln.name,
-				baseMs: pln.baseMs, places: pln.places, factor: 1, prefix: map[uint64]bool{}, rng: rnn.rng.Float64,
+				baseMs: pln.baseMs, slots: pln.slots, slowdown: 1, cached: map[uint64]bool{}, random: rnn.rng.Float64,
 			}
 			rnn.pools[pln.name] = append(rnn.pools[pln.name], srv)
 		}
@@ -72,15 +76,15 @@
 	for range rnn.dpl.instances {
 		rnn.insts = append(rnn.insts, rnn.newInstance())
 	}
-	rnn.tln.after(0, rnn.reports)
-	rnn.tln.after(0, rnn.ticks)
+	rnn.tln.after(0, rnn.sampleReports)
+	rnn.tln.after(0, rnn.tickGates)
 }
 
 func (rnn *run) newInstance() *instance {
-	ins := &instance{run: rnn, gates: map[string]*admit.Gate{}, needs: map[string]*admit.Estimator{}}
+	ins := &instance{run: rnn, gates: map[string]*admit.Gate{}, estimators: map[string]*admit.Estimator{}}
 	for _, pln := range rnn.dpl.pools {
 		rt := route.New("dc1", rand.New(rand.NewPCG(rnn.rng.Uint64(), 1)))
-		rt.UseBaseline(rnn.pol.Route)
+		rt.UseBaseline(rnn.pol.Baseline)
 		var eps []route.Endpoint
 		for _, srv := range rnn.pools[pln.name] {
 			eps = append(eps, route.Endpoint{ID: srv.id, Zone: "dc1"})
@@ -90,7 +94,7 @@
 		if !rnn.pol.Admission {
 			gate.Queue().UseFIFO()
 		}
-		if !rnn.pol.Bounded {
+		if !rnn.pol.BoundedRetries {
 			gate.UsePlainRetries()
 		}
 		ins.gates[pln.name] = gate
@@ -98,21 +102,22 @@
 	return ins
 }
 
-// reports brings each server's load to all instances, late.
-func (rnn *run) reports() {
-	lag := max(rnn.scn.reportLag, usualLag)
+// sampleReports samples the load of each server and schedules its delivery to all instances after
+// the scenario's lag; it repeats every second.
+func (rnn *run) sampleReports() {
+	lag := max(rnn.scn.reportLag, minReportLag)
 	for _, srvs := range rnn.pools {
 		for _, srv := range srvs {
 			load, leaving := srv.load(), srv.leaving
-			rnn.tln.after(lag, func() { rnn.report(srv, load, leaving) })
+			rnn.tln.after(lag, func() { rnn.deliverReport(srv, load, leaving) })
 		}
 	}
-	if rnn.tln.now < runFor {
-		rnn.tln.after(clock.Second, rnn.reports)
+	if rnn.tln.now < arrivalTime {
+		rnn.tln.after(clock.Second, rnn.sampleReports)
 	}
 }
 
-func (rnn *run) report(srv *server, load float64, leaving bool) {
+func (rnn *run) deliverReport(srv *server, load float64, leaving bool) {
 	for _, ins := range rnn.insts {
 		rt := ins.gates[srv.pool].Pool()
 		if !srv.frozen {
@@ -124,20 +129,20 @@
 	}
 }
 
-func (rnn *run) ticks() {
+func (rnn *run) tickGates() {
 	for _, ins := range rnn.insts {
 		for _, pln := range rnn.dpl.pools {
 			ins.gates[pln.name].Tick(rnn.tln.now)
 		}
 	}
-	if rnn.tln.now < runFor+5*clock.Second {
-		rnn.tln.after(tickEvery, rnn.ticks)
+	if rnn.tln.now < arrivalTime+5*clock.Second {
+		rnn.tln.after(tickInterval, rnn.tickGates)
 	}
 }
 
-// rate is the arrivals a second for a load of 1: what the bottleneck's servers
-// can do when full, over the part of the arrivals that come to it.
-func (rnn *run) rate() float64 {
+// fullLoadRate returns the requests per second at a load of 1: the throughput of the full servers of
+// the bottleneck pool, divided by the share of requests that use this pool.
+func (rnn *run) fullLoadRate() float64 {
 	part := 0.0
 	for _, svc := range rnn.dpl.services {
 		for _, stg := range svc.stages {
@@ -148,41 +153,42 @@
 	}
 	for _, pln := range rnn.dpl.pools {
 		if pln.name == rnn.dpl.bottleneck {
-			return float64(pln.servers*pln.places) / (pln.baseMs * 1.5 / 1000) / part
+			return float64(pln.servers*pln.slots) / (pln.baseMs * 1.5 / 1000) / part
 		}
 	}
 	return 0
 }
 
-func (rnn *run) arrive() {
-	if rnn.tln.now >= runFor {
+// nextArrival offers a request, and schedules the next one after an exponentially distributed gap.
+func (rnn *run) nextArrival() {
+	if rnn.tln.now >= arrivalTime {
 		return
 	}
-	rnn.offer(rnn.workspace())
-	// A burst is the largest workspace's alone, on top of the others.
+	rnn.offer(rnn.drawWorkspace())
+	// Only the largest workspace sends the additional requests of a burst.
 	for extra := rnn.burst - 1; extra > 0; extra-- {
-		if wsp := rnn.workspace(); wsp == rnn.dpl.workspaces[0] {
+		if wsp := rnn.drawWorkspace(); wsp == rnn.dpl.workspaces[0] {
 			rnn.offer(wsp)
 		}
 	}
-	gap := rnn.rng.ExpFloat64() * 1000 / (rnn.rate() * rnn.scn.Load)
-	rnn.tln.after(clock.Milli(gap+rnn.rng.Float64()), rnn.arrive)
+	gap := rnn.rng.ExpFloat64() * 1000 / (rnn.fullLoadRate() * rnn.scn.Load)
+	rnn.tln.after(clock.Milli(gap+rnn.rng.Float64()), rnn.nextArrival)
 }
 
-func (rnn *run) workspace() workspacePlan {
-	at := rnn.rng.Float64()
+func (rnn *run) drawWorkspace() workspacePlan {
+	pos := rnn.rng.Float64()
 	for _, wsp := range rnn.dpl.workspaces {
-		if at -= wsp.share; at < 0 {
+		if pos -= wsp.share; pos < 0 {
 			return wsp
 		}
 	}
 	return rnn.dpl.workspaces[0]
 }
 
-func (rnn *run) service() servicePlan {
-	at := rnn.rng.Float64()
+func (rnn *run) drawService() servicePlan {
+	pos := rnn.rng.Float64()
 	for _, svc := range rnn.dpl.services {
-		if at -= svc.share; at < 0 {
+		if pos -= svc.share; pos < 0 {
 			return svc
 		}
 	}
@@ -192,26 +198,27 @@
 func (rnn *run) offer(wsp workspacePlan) {
 	ins := rnn.insts[rnn.rng.IntN(len(rnn.insts))]
 	req := &request{
-		ins: ins, wsp: wsp, svc: rnn.service(), arrived: rnn.tln.now,
-		prefix: 1 + uint64(rnn.rng.IntN(prefixes)),
+		ins: ins, wsp: wsp, svc: rnn.drawService(), arrived: rnn.tln.now,
+		prefix: 1 + uint64(rnn.rng.IntN(prefixCount)),
 	}
 	req.deadline = req.arrived + req.svc.deadline
-	rnn.res.offered(req)
+	rnn.res.recordOffered(req)
 	req.begin()
 }
 
-func (ins *instance) need(svc servicePlan, i int) *admit.Estimator {
+func (ins *instance) estimator(svc servicePlan, i int) *admit.Estimator {
 	key := fmt.Sprintf("%s/%d", svc.name, i)
-	ned, ok := ins.needs[key]
+	est, ok := ins.estimators[key]
 	if !ok {
-		ned = &admit.Estimator{}
-		ins.needs[key] = ned
+		est = &admit.Estimator{}
+		ins.estimators[key] = est
 	}
-	return ned
+	return est
 }
 
-// guess is the owner's first guess of a stage's time.
-func (rnn *run) guess(pool string) clock.Milli {
+// initialEstimate returns the owner's estimate of a stage's time, used until times have been
+// measured.
+func (rnn *run) initialEstimate(pool string) clock.Milli {
 	for _, pln := range rnn.dpl.pools {
 		if pln.name == pool {
 			return clock.Milli(pln.baseMs * 1.25)
--- a/internal/trial/server.go
+++ b/internal/trial/server.go
@@ -6,50 +6,50 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// server is a fake endpoint: a batch with so many places, whose work takes up to
-// half as long again when it is full, and a queue behind it.
+// server is a simulated endpoint with a batch of so many slots and a queue. Work takes up to 1.5
+// times as long when the batch is full.
 type server struct {
-	tln     *timeline
-	id      string
-	pool    string
-	baseMs  float64
-	places  int
-	factor  float64
-	dead    bool
-	failing float64
-	rng     func() float64
-	frozen  bool
-	leaving bool
-	running []*work
-	waiting []*work
-	prefix  map[uint64]bool
+	tln          *timeline
+	id           string
+	pool         string
+	baseMs       float64
+	slots        int
+	slowdown     float64
+	failsAtOnce  bool
+	failureShare float64
+	random       func() float64
+	frozen       bool
+	leaving      bool
+	running      []*work
+	waiting      []*work
+	cached       map[uint64]bool
 }
 
 // work is one attempt at a server.
 type work struct {
-	srv    *server
-	prefix uint64
-	began  clock.Milli
-	busy   bool
-	over   bool
-	done   func(ok bool, engine clock.Milli)
+	srv       *server
+	prefix    uint64
+	startedAt clock.Milli
+	started   bool
+	ended     bool
+	done      func(ok bool, engine clock.Milli)
 }
 
-// load is what the server reports of itself.
+// load returns the load that the server reports.
 func (srv *server) load() float64 { return float64(len(srv.running) + len(srv.waiting)) }
 
-func (srv *server) take(wrk *work) {
+func (srv *server) submit(wrk *work) {
 	wrk.srv = srv
-	if srv.dead {
+	if srv.failsAtOnce {
 		srv.tln.after(1, func() { wrk.finish(false, 0) })
 		return
 	}
 	srv.waiting = append(srv.waiting, wrk)
-	srv.next()
+	srv.startNext()
 }
 
-func (srv *server) next() {
-	for !srv.frozen && len(srv.waiting) > 0 && len(srv.running) < srv.places {
+func (srv *server) startNext() {
+	for !srv.frozen && len(srv.waiting) > 0 && len(srv.running) < srv.slots {
 		wrk := srv.waiting[0]
 		srv.waiting = srv.waiting[1:]
 		srv.running = append(srv.running, wrk)
@@ -58,46 +58,46 @@
 }
 
 func (srv *server) start(wrk *work) {
-	wrk.began, wrk.busy = srv.tln.now, true
-	full := float64(len(srv.running)) / float64(srv.places)
-	took := srv.baseMs * srv.factor * (1 + 0.5*full)
-	if wrk.prefix != 0 && !srv.prefix[wrk.prefix] {
-		// A cold prompt costs a quarter more.
+	wrk.startedAt, wrk.started = srv.tln.now, true
+	fill := float64(len(srv.running)) / float64(srv.slots)
+	took := srv.baseMs * srv.slowdown * (1 + 0.5*fill)
+	if wrk.prefix != 0 && !srv.cached[wrk.prefix] {
+		// A prompt whose prefix is not cached takes a quarter longer.
 		took *= 1.25
-		srv.prefix[wrk.prefix] = true
+		srv.cached[wrk.prefix] = true
 	}
 	srv.tln.after(clock.Milli(took), func() {
-		if srv.frozen || wrk.over {
+		if srv.frozen || wrk.ended {
 			return
 		}
-		srv.drop(wrk)
-		broken := srv.dead || srv.failing > 0 && srv.rng() < srv.failing
-		wrk.finish(!broken, srv.tln.now-wrk.began)
+		srv.remove(wrk)
+		failed := srv.failsAtOnce || srv.failureShare > 0 && srv.random() < srv.failureShare
+		wrk.finish(!failed, srv.tln.now-wrk.startedAt)
 	})
 }
 
-func (srv *server) drop(wrk *work) {
-	same := func(oth *work) bool { return oth == wrk }
+func (srv *server) remove(wrk *work) {
+	same := func(other *work) bool { return other == wrk }
 	srv.running = slices.DeleteFunc(srv.running, same)
 	srv.waiting = slices.DeleteFunc(srv.waiting, same)
-	srv.next()
+	srv.startNext()
 }
 
 func (wrk *work) finish(ok bool, engine clock.Milli) {
-	if wrk.over {
+	if wrk.ended {
 		return
 	}
-	wrk.over = true
+	wrk.ended = true
 	wrk.done(ok, engine)
 }
 
-// cancel gives a piece of work up and tells what it has cost.
+// cancel ends an attempt and returns the endpoint time that it has cost.
 func (wrk *work) cancel() clock.Milli {
 	cost := clock.Milli(0)
-	if wrk.busy && !wrk.over {
-		cost = wrk.srv.tln.now - wrk.began
+	if wrk.started && !wrk.ended {
+		cost = wrk.srv.tln.now - wrk.startedAt
 	}
-	wrk.over = true
-	wrk.srv.drop(wrk)
+	wrk.ended = true
+	wrk.srv.remove(wrk)
 	return cost
 }
--- a/internal/trial/queue.go
+++ b/internal/trial/timeline.go
@@ -6,7 +6,8 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// timeline runs events in the order of fake time.
+// timeline runs events in the order of simulated time; events of the same time run in the order in
+// which they were scheduled.
 type timeline struct {
 	now    clock.Milli
 	seq    int
@@ -46,11 +47,13 @@
 	return last
 }
 
+// after schedules an event; a negative span counts as zero.
 func (tln *timeline) after(span clock.Milli, run func()) {
 	tln.seq++
 	heap.Push(&tln.events, event{at: tln.now + max(span, 0), seq: tln.seq, run: run})
 }
 
+// run runs the events up to a time, those at this time included.
 func (tln *timeline) run(until clock.Milli) {
 	for len(tln.events) > 0 && tln.events[0].at <= until {
 		next := heap.Pop(&tln.events).(event)
