--- a/internal/front/crash.go
+++ b/internal/front/crash.go
@@ -25,19 +25,18 @@
 }
 
 // checkCrash probes an endpoint that has cut the connection of an attempt. If the endpoint has
-// crashed, and not only closed the connection, the request is recorded as a suspect at all
-// instances.
+// crashed, and not only closed the connection, the request becomes a suspect at all instances.
 func (fr *Front) checkCrash(cl *call, tgt coord.Placement) {
-	mrk, leaving := cl.fingerprint(), fr.set.Control.View().IsLeaving(tgt.ID)
+	fpr, leaving := cl.fingerprint(), fr.set.Control.View().IsLeaving(tgt.ID)
 	go func() {
 		ended := relay.ProcessEnded(context.Background(), tgt.Addr)
 		switch counts := ended && !leaving; {
 		case counts && !cl.trial:
-			fr.set.Control.RecordCrash(mrk, tgt.ID)
+			fr.set.Control.RecordCrash(fpr, tgt.ID)
 		case !counts && cl.trial:
-			fr.set.Control.CancelTrial(mrk, cl.attemptName())
+			fr.set.Control.CancelTrial(fpr, cl.attemptName())
 		}
-		fr.set.Log.Info().Str("request", cl.ask.ID).Stringer("mark", mrk).Str("workspace", cl.wsp).Str("pool", cl.pool.Name()).
+		fr.set.Log.Info().Str("request", cl.ask.ID).Stringer("mark", fpr).Str("workspace", cl.wsp).Str("pool", cl.pool.Name()).
 			Str("endpoint", string(tgt.ID)).Bool("ended", ended).Bool("leaving", leaving).Msg("connection cut by endpoint")
 	}()
 }
@@ -61,7 +60,8 @@
 }
 
 // quarantine refuses requests under which several endpoints have crashed: the next endpoint would
-// crash too, and with it the requests of others that run there.
+// crash too, and the other requests there would fail with it. When a quarantine is over, one attempt
+// is admitted for a trial.
 func (fr *Front) quarantine(ctx context.Context, cl *call, nxt chain.Next[*call]) outcm.Result {
 	sus := fr.set.Control.View().Suspects()
 	switch {
@@ -90,10 +90,10 @@
 // the same request would be refused again.
 func (fr *Front) refuseQuarantined(cl *call) outcm.Result {
 	now := fr.set.Clock.Now()
-	ends := fr.crashesUnder(cl)
+	crashes := fr.crashesUnder(cl)
 	var listed []string
-	for _, end := range ends[max(len(ends)-maxListedCrashes, 0):] {
-		listed = append(listed, fmt.Sprintf("%s %.1f s ago, reported by %s", end.Endpoint, (now-end.At).Seconds(), end.By))
+	for _, crash := range crashes[max(len(crashes)-maxListedCrashes, 0):] {
+		listed = append(listed, fmt.Sprintf("%s %.1f s ago, reported by %s", crash.Endpoint, (now-crash.At).Seconds(), crash.By))
 	}
-	return outcm.New(outcm.NotRun, outcm.Quarantined, fmt.Sprintf("%d endpoints crashed under this request: %s", len(ends), strings.Join(listed, "; ")))
+	return outcm.New(outcm.NotRun, outcm.Quarantined, fmt.Sprintf("%d endpoints crashed under this request: %s", len(crashes), strings.Join(listed, "; ")))
 }
--- a/internal/front/drain.go
+++ b/internal/front/drain.go
@@ -8,8 +8,8 @@
 	"amaranthvalve/pkg/outcm"
 )
 
-// BeginShutdown begins a planned shutdown, in which requests are answered until end. From now on each
-// response asks the caller to close its connection, and requests that may last beyond end are
+// BeginShutdown begins a planned shutdown, in which requests are answered until end. From now on
+// each response asks the caller to close its connection, and requests that may last beyond end are
 // refused.
 func (fr *Front) BeginShutdown(end clock.Milli) { fr.stopEnd.Store(int64(end)) }
 
@@ -20,10 +20,10 @@
 }
 
 // drain admits a request during a planned shutdown only if its deadline, or its route's timeout,
-// passes before the shutdown ends. Callers use an address for some seconds after it was removed
-// from the list of entry addresses. Response times measured before don't bound a response: a
-// longer one would be cut off midway. A refused request has not run, and another instance can
-// answer it.
+// passes before the shutdown ends. Requests still arrive then, because callers use an address for
+// some seconds after it was removed from the list of entry addresses. The usual response times of
+// the route are not relied on: a response that takes longer would be cut off midway. A refused
+// request has not run, and another instance can answer it.
 func (fr *Front) drain(ctx context.Context, cl *call, nxt chain.Next[*call]) outcm.Result {
 	end, is := fr.stopping()
 	if !is {
--- a/internal/front/final.go
+++ b/internal/front/final.go
@@ -88,11 +88,11 @@
 	// prev is the result of the previous attempt; fallback is a complete failure response of an
 	// endpoint, which is forwarded if no other endpoint does better.
 	prev     outcm.Result
-	fallback *bufferedAnswer
+	fallback *bufferedResponse
 }
 
 // bufferedAnswer is an endpoint's response that was read completely.
-type bufferedAnswer struct {
+type bufferedResponse struct {
 	rsp  *relay.Response
 	body []byte
 }
@@ -123,14 +123,14 @@
 }
 
 // release frees the slot of an attempt and records how the attempt ended.
-func (run *finalRun) release(tgt coord.Placement, ver route.Outcome, took clock.Milli) {
+func (run *finalRun) release(tgt coord.Placement, out route.Outcome, took clock.Milli) {
 	fr, cl := run.fr, run.cl
 	if tgt.Ticket == "" {
-		fr.pools.Finish(cl.pool.Name(), tgt.ID, ver, took)
+		fr.pools.Finish(cl.pool.Name(), tgt.ID, out, took)
 		return
 	}
 	end := place.Failed
-	switch ver {
+	switch out {
 	case route.Success:
 		end = place.Succeeded
 	case route.Cancelled:
@@ -211,7 +211,7 @@
 // had time to fetch them, and a function that stops the hook.
 //
 // A result takes storage at its endpoint until it is released. If inputs were held until the first
-// event, they would take storage while the engine processes the prompt, some hundred milliseconds;
+// event, they would take storage while the engine prefills the prompt, some hundred milliseconds;
 // in a burst all storage would be taken by results that were fetched long ago, and the endpoints
 // would be idle. An engine without a free slot fetches later, and would find nothing; it then
 // confirms that it ran nothing, and the caller has to retry. So the hook is left out for an engine
@@ -303,9 +303,9 @@
 		return run.forwardLarge(rsp, body)
 	}
 	fr.clearSuspicion(cl, rsp)
-	run.release(tgt, statusVerdict(rsp.Status), took)
+	run.release(tgt, statusOutcome(rsp.Status), took)
 	if rsp.Status >= http.StatusInternalServerError && cl.route.Repeatable() && !cl.out.headSent {
-		run.fallback = &bufferedAnswer{rsp: rsp, body: body}
+		run.fallback = &bufferedResponse{rsp: rsp, body: body}
 		if res, again := run.afterFailure(ctx, ending.Cut); again {
 			return res, true
 		}
@@ -353,7 +353,7 @@
 	}
 }
 
-func statusVerdict(status int) route.Outcome {
+func statusOutcome(status int) route.Outcome {
 	if status >= http.StatusInternalServerError {
 		return route.Failure
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -72,7 +72,7 @@
 	wsp     string
 	arrived clock.Milli
 	// due is the time up to which a response meets the target latency; deadline is when the
-	// caller disconnects or the route's timeout ends.
+	// caller's or the route's timeout ends.
 	due      clock.Milli
 	deadline clock.Milli
 	rank     int
--- a/internal/front/match.go
+++ b/internal/front/match.go
@@ -70,8 +70,8 @@
 	}
 	cl.deadline = cl.arrived + span
 	cl.due = cl.deadline
-	if goal := cl.route.TargetLatency(); goal > 0 {
-		cl.due = min(cl.deadline, cl.arrived+goal)
+	if target := cl.route.TargetLatency(); target > 0 {
+		cl.due = min(cl.deadline, cl.arrived+target)
 	}
 	cl.rank = cl.view.Plan().Rank(cl.route, nil)
 }
--- a/internal/front/results.go
+++ b/internal/front/results.go
@@ -14,9 +14,9 @@
 	// allStages selects the results of all stages of a request.
 	allStages = -1
 	// earlyReleaseShare is the share of an endpoint's result storage above which the results of
-	// a stage are released as soon as they were fetched. Smaller ones are held until the batch
-	// that takes them has ended: if that batch finds no storage, or its endpoint crashes, it can
-	// be repeated.
+	// a stage are released as soon as they have been fetched. Smaller ones are held until the
+	// batch that takes them has ended: if that batch finds no storage, or its endpoint crashes, it
+	// can be repeated.
 	earlyReleaseShare = 0.01
 )
 
@@ -52,42 +52,42 @@
 // the last stages are fetched by the model engine.
 func (cl *call) preferredZone(stg int) string {
 	raw := cl.route.Stages()[stg]
-	pull := map[string]int64{}
+	byZone := map[string]int64{}
 	if cl.route.Graph().IsLeaf(stg) {
-		pull[cl.engine.Zone] += raw.Bytes
+		byZone[cl.engine.Zone] += raw.Bytes
 	}
 	for _, srs := range cl.results {
 		if !slices.Contains(raw.After, srs.stage) {
 			continue
 		}
 		for _, res := range srs.handles {
-			pull[res.Zone] += cl.route.Stages()[srs.stage].Bytes
+			byZone[res.Zone] += cl.route.Stages()[srs.stage].Bytes
 		}
 	}
-	zone, _ := heaviest(pull, minZoneBytes-1)
+	zone, _ := heaviest(byZone, minZoneBytes-1)
 	return zone
 }
 
 // inputZone returns the data centre that holds most bytes of the final call's inputs, and how many
 // that is.
 func (cl *call) inputZone() (zone string, bytes int64) {
-	pull := map[string]int64{}
+	byZone := map[string]int64{}
 	for _, srs := range cl.results {
 		if !cl.route.Graph().IsLeaf(srs.stage) {
 			continue
 		}
 		for _, res := range srs.handles {
-			pull[res.Zone] += cl.route.Stages()[srs.stage].Bytes
+			byZone[res.Zone] += cl.route.Stages()[srs.stage].Bytes
 		}
 	}
-	return heaviest(pull, 0)
+	return heaviest(byZone, 0)
 }
 
 // heaviest returns the data centre with the most bytes, if these are more than least; of two with
 // the same number, the first by name.
-func heaviest(pull map[string]int64, least int64) (zone string, bytes int64) {
+func heaviest(byZone map[string]int64, least int64) (zone string, bytes int64) {
 	bytes = least
-	for name, sum := range pull {
+	for name, sum := range byZone {
 		if sum > bytes || sum == bytes && zone != "" && name < zone {
 			zone, bytes = name, sum
 		}
@@ -122,15 +122,15 @@
 	return bytes
 }
 
-// lots lists the results of stages with the coordinators that had them made.
-func (cl *call) lots(stages []int) []batch.ResultSet {
-	var lots []batch.ResultSet
+// resultSets lists the results of stages with the coordinators that had them made.
+func (cl *call) resultSets(stages []int) []batch.ResultSet {
+	var sets []batch.ResultSet
 	for _, srs := range cl.results {
 		if slices.Contains(stages, srs.stage) {
-			lots = append(lots, batch.ResultSet{Coordinator: srs.coordinator, Release: batch.ReleaseRequest{Pool: srs.pool, Results: srs.handles}})
+			sets = append(sets, batch.ResultSet{Coordinator: srs.coordinator, Release: batch.ReleaseRequest{Pool: srs.pool, Results: srs.handles}})
 		}
 	}
-	return lots
+	return sets
 }
 
 // dropResults removes the results of stages that others have released.
@@ -141,7 +141,7 @@
 }
 
 // releasedEarly selects those of the stages whose results are large enough to be released as soon
-// as they were fetched.
+// as they have been fetched.
 func (cl *call) releasedEarly(stages []int) []int {
 	return slices.DeleteFunc(slices.Clone(stages), func(stg int) bool {
 		spc := cl.batchSpec(stg)
--- a/internal/front/slow.go
+++ b/internal/front/slow.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// slowFactor times the upper bound of a route's first-byte times is how long a repeatable
-	// final call may wait for its first byte before it is tried at another endpoint, and never
-	// less than minSlowDelay. Without it a hung endpoint would hold a request until its route's
-	// timeout, while other endpoints could answer within some tens of milliseconds.
-	// internal/stage uses a factor of four too.
+	// slowFactor times the upper bound of a route's first-byte times, but at least minSlowDelay,
+	// is how long a repeatable final call waits for its first byte before it is tried at another
+	// endpoint. Otherwise a hung endpoint would hold a request until its route's timeout, while
+	// other endpoints could answer within some tens of milliseconds. internal/stage uses a factor
+	// of four too.
 	slowFactor   = 4
 	minSlowDelay = 250 * clock.Milli(1)
 )
@@ -73,13 +73,13 @@
 }
 
 // releaseUnused frees the slot of a placement to which nothing was sent.
-func (run *finalRun) releaseUnused(seat coord.Placement) {
+func (run *finalRun) releaseUnused(tgt coord.Placement) {
 	fr, pool := run.fr, run.cl.pool.Name()
-	if seat.Ticket == "" {
-		fr.pools.Finish(pool, seat.ID, route.Cancelled, 0)
+	if tgt.Ticket == "" {
+		fr.pools.Finish(pool, tgt.ID, route.Cancelled, 0)
 		return
 	}
-	fr.coord.RecordEnd(pool, seat, place.Neutral, 0)
+	fr.coord.RecordEnd(pool, tgt, place.Neutral, 0)
 }
 
 // releaseNext frees the slot reserved for a next attempt that is not made.
--- a/internal/front/stages.go
+++ b/internal/front/stages.go
@@ -24,11 +24,12 @@
 )
 
 const (
-	// contendedShare of the time of a full batch is the wait at a pool from which on it is
-	// contended: items don't wait for an endpoint in their own data centre, and requests that
-	// will be late are refused. With batches of 0.37 s, 60 ms and 200 ms gave the same results.
+	// contendedShare is the wait at a pool, as a share of the time of a full batch, above which
+	// the pool is contended: items then don't wait for an endpoint in their own data centre, and
+	// requests that will be late are refused. With batches of 0.37 s, waits of 60 ms and of 200 ms
+	// gave the same results.
 	contendedShare = 0.5
-	// slowStageFactor times its planned time makes a stage slow enough to be logged.
+	// slowStageFactor times its planned time is how long a stage may take without being logged.
 	slowStageFactor = 2
 	// maxRecomputes is how often stages whose results were lost are recomputed: an endpoint that
 	// crashes loses all that it holds at that time, and a second loss within one request's
@@ -75,15 +76,15 @@
 	if spc == nil || n == 0 {
 		return 0
 	}
-	calls := (n + spc.MaxItems - 1) / spc.MaxItems
-	return clock.Milli(spc.Call + spc.Item*float64(min(n, spc.MaxItems)) + spc.Call*float64(calls-1))
+	batches := (n + spc.MaxItems - 1) / spc.MaxItems
+	return clock.Milli(spc.Call + spc.Item*float64(min(n, spc.MaxItems)) + spc.Call*float64(batches-1))
 }
 
 // admit chooses the final pool, and refuses at once requests that can't be answered before their
 // deadline. While pools are contended it also refuses those that will probably be late: they would
-// take the slot of a request that can be in time. While pools are not contended, requests that will
-// merely be late are admitted. A retry is measured from the caller's first attempt, and goes before
-// requests that came later.
+// take the slot of a request that can be in time. While pools are not contended, late requests are
+// admitted as long as they meet their deadline. The target latency of a retry counts from the
+// caller's first attempt, so that it goes before requests that came later.
 func (fr *Front) admit(ctx context.Context, cl *call, nxt chain.Next[*call]) outcm.Result {
 	name := cl.route.Target(rand.Float64())
 	pol, ok := cl.view.Plan().Pool(name)
@@ -131,8 +132,8 @@
 // retryKey identifies a request by all that its caller sends again with a retry; only the ID of
 // the attempt and the time left differ then.
 func (cl *call) retryKey() uint64 {
-	mrk := cl.fingerprint()
-	return xxhash.Sum64String(string(mrk[:]) + cl.http.Method + "\x00" + cl.ask.ItemKey)
+	fpr := cl.fingerprint()
+	return xxhash.Sum64String(string(fpr[:]) + cl.http.Method + "\x00" + cl.ask.ItemKey)
 }
 
 // firstByteEstimate estimates the time of a request from now to its first byte.
@@ -188,9 +189,9 @@
 		Ended: func(stg int, out stageOut) walk.Word {
 			cl.dropResults(out.released)
 			switch {
-			case out.flaw == proto.InputLost && fr.recompute(cl, run, stg):
+			case out.failure == proto.InputLost && fr.recompute(cl, run, stg):
 				return walk.Undone
-			case out.flaw != proto.NoFailure:
+			case out.failure != proto.NoFailure:
 				refusal = fr.refuseStage(cl, out)
 				return walk.Failed
 			}
@@ -231,7 +232,7 @@
 
 // addResults records the results of a stage, which are released later.
 func (cl *call) addResults(out stageOut) {
-	if out.flaw == proto.NoFailure {
+	if out.failure == proto.NoFailure {
 		cl.mtx.Lock()
 		defer cl.mtx.Unlock()
 		cl.results = append(cl.results, out.results)
@@ -254,7 +255,7 @@
 	raw := cl.route.Stages()[stg]
 	ord := batch.Order{
 		Pool: raw.Pool, Request: cl.ask.ID, Stage: stg, Count: cl.itemCount(stg), Bytes: raw.Bytes, Rank: cl.rank, Zone: cl.preferredZone(stg),
-		LastInputs: cl.lots(last), Recompute: slices.Contains(cl.recomputed, stg), Exclusive: len(fr.crashesUnder(cl)) > 0,
+		LastInputs: cl.resultSets(last), Recompute: slices.Contains(cl.recomputed, stg), Exclusive: len(fr.crashesUnder(cl)) > 0,
 	}
 	if len(raw.After) == 0 {
 		ord.Key = cl.ask.ItemKey
@@ -272,7 +273,7 @@
 type stageOut struct {
 	results stageResults
 	stage   int
-	flaw    proto.Failure
+	failure proto.Failure
 	// released are the stages whose results were released when they had been fetched.
 	released []int
 }
@@ -280,32 +281,32 @@
 // runStage has the order of a stage filled.
 func (fr *Front) runStage(ctx context.Context, cl *call, jb job) stageOut {
 	began := fr.set.Clock.Now()
-	fld, home := fr.coord.Fill(ctx, jb.ord, func() (due, until clock.Milli) {
+	orr, coordinator := fr.coord.Fill(ctx, jb.ord, func() (due, until clock.Milli) {
 		now := fr.set.Clock.Now()
 		return jb.due - now, jb.deadline - now
 	})
 	ended := fr.set.Clock.Now()
-	fr.logSlowStage(cl, jb.ord.Stage, home, ended-began, fld)
-	for _, id := range fld.Crashed {
+	fr.logSlowStage(cl, jb.ord.Stage, coordinator, ended-began, orr)
+	for _, id := range orr.Crashed {
 		fr.set.Control.RecordCrash(cl.fingerprint(), id)
 	}
-	out := stageOut{stage: jb.ord.Stage, flaw: fld.Failure}
-	if fld.InputsReleased {
+	out := stageOut{stage: jb.ord.Stage, failure: orr.Failure}
+	if orr.InputsReleased {
 		out.released = jb.releases
 	}
-	if out.flaw == proto.NoFailure && len(fld.Results) != jb.ord.Count {
-		out.flaw = proto.Late
+	if out.failure == proto.NoFailure && len(orr.Results) != jb.ord.Count {
+		out.failure = proto.Late
 	}
-	if out.flaw == proto.NoFailure {
-		out.results = stageResults{pool: jb.ord.Pool, stage: jb.ord.Stage, handles: fld.Results, coordinator: home, madeAt: ended}
+	if out.failure == proto.NoFailure {
+		out.results = stageResults{pool: jb.ord.Pool, stage: jb.ord.Stage, handles: orr.Results, coordinator: coordinator, madeAt: ended}
 	}
 	return out
 }
 
-// timeAfter returns the planned time from a stage's end to the request's first byte.
+// timeAfter returns the planned time from the end of a stage to the first byte of the response.
 func (fr *Front) timeAfter(cl *call, stg int) clock.Milli {
-	ways := cl.route.Graph().PathTimes(cl.serviceTime)
-	return fr.pools.FirstByte(cl.route.Name()) + ways[stg] - cl.serviceTime(stg)
+	paths := cl.route.Graph().PathTimes(cl.serviceTime)
+	return fr.pools.FirstByte(cl.route.Name()) + paths[stg] - cl.serviceTime(stg)
 }
 
 // zoneWait returns how long a stage's items wait for an endpoint in their preferred data centre: a
@@ -336,13 +337,13 @@
 	return false
 }
 
-// logSlowStage logs a stage that failed or took far longer than planned: these stages make requests
-// late.
-func (fr *Front) logSlowStage(cl *call, stg int, home string, took clock.Milli, fld batch.OrderResult) {
-	if planned := cl.serviceTime(stg); fld.Failure != proto.NoFailure || took > slowStageFactor*planned {
+// logSlowStage logs a stage that failed or took far longer than planned, since such stages make
+// requests late.
+func (fr *Front) logSlowStage(cl *call, stg int, coordinator string, took clock.Milli, orr batch.OrderResult) {
+	if planned := cl.serviceTime(stg); orr.Failure != proto.NoFailure || took > slowStageFactor*planned {
 		fr.set.Log.Info().Str("request", cl.ask.ID).Int("stage", stg).Str("pool", cl.route.Stages()[stg].Pool).
-			Int("pieces", cl.itemCount(stg)).Str("gatherer", home).Int64("took_ms", int64(took)).Int64("planned_ms", int64(planned)).
-			Str("flaw", fld.Failure.String()).Int64("pool_wait_ms", int64(fld.Wait)).Msg("stage slow or failed")
+			Int("pieces", cl.itemCount(stg)).Str("gatherer", coordinator).Int64("took_ms", int64(took)).Int64("planned_ms", int64(planned)).
+			Str("flaw", orr.Failure.String()).Int64("pool_wait_ms", int64(orr.Wait)).Msg("stage slow or failed")
 	}
 }
 
@@ -353,8 +354,8 @@
 	switch {
 	case fr.set.Clock.Now() >= cl.deadline:
 		return outcm.Refuse(outcm.DeadlinePassed, after, fmt.Sprintf("stage %d did not finish before the deadline", out.stage))
-	case out.flaw == proto.Late:
+	case out.failure == proto.Late:
 		return outcm.Refuse(outcm.Hopeless, after, fmt.Sprintf("stage %d can't finish in time", out.stage))
 	}
-	return outcm.Refuse(outcm.StageRefused, after, fmt.Sprintf("stage %d failed: %s", out.stage, out.flaw))
+	return outcm.Refuse(outcm.StageRefused, after, fmt.Sprintf("stage %d failed: %s", out.stage, out.failure))
 }
--- a/internal/front/times.go
+++ b/internal/front/times.go
@@ -7,8 +7,9 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// maxTimedRoutes bounds the routes whose times are kept, some 100 B each: documents may add routes
-// at any time. Beyond it all are dropped and measured anew, which takes a few requests per route.
+// maxTimedRoutes bounds the routes whose times are kept, some 100 B each, since documents may add
+// routes at any time. Beyond it all times are dropped and measured anew, which takes a few requests
+// per route.
 const maxTimedRoutes = 4096
 
 // routeTimes holds measured times by route. The zero value is empty.
@@ -24,12 +25,12 @@
 	if rts.byRoute == nil || len(rts.byRoute) >= maxTimedRoutes {
 		rts.byRoute = map[string]*admit.Estimator{}
 	}
-	ned, ok := rts.byRoute[route]
+	est, ok := rts.byRoute[route]
 	if !ok {
-		ned = &admit.Estimator{}
-		rts.byRoute[route] = ned
+		est = &admit.Estimator{}
+		rts.byRoute[route] = est
 	}
-	ned.Sample(took, now)
+	est.Sample(took, now)
 }
 
 // upperBound returns a time that a route's requests rarely exceed; guess is used until the route
@@ -37,8 +38,8 @@
 func (rts *routeTimes) upperBound(route string, guess, now clock.Milli) clock.Milli {
 	rts.mtx.Lock()
 	defer rts.mtx.Unlock()
-	if ned, ok := rts.byRoute[route]; ok {
-		return ned.Upper(guess, now)
+	if est, ok := rts.byRoute[route]; ok {
+		return est.Upper(guess, now)
 	}
 	return guess
 }
