--- a/internal/batch/batcher.go
+++ b/internal/batch/batcher.go
@@ -29,18 +29,18 @@
 	Share   float64
 	Reserve float64
 	Window  clock.Milli
-	// OnInputsFetched is called with inputs that all their consumers have fetched, so that they can be
-	// released.
-	OnInputsFetched func(lots []ResultSet)
+	// OnInputsFetched is called with inputs that all their consumers have fetched, so that they
+	// can be released.
+	OnInputsFetched func(sets []ResultSet)
 	// After runs work after a delay; nil selects the runtime's timers.
 	After func(span clock.Milli, work func())
 	// OnMisdirected is called for an endpoint at whose address another endpoint answers.
 	OnMisdirected func(id ident.Process, why string)
-	// ProcessEnded reports whether the process at an address has crashed or exited; nil disables the
-	// check.
+	// ProcessEnded reports whether the process at an address has crashed or exited; nil disables
+	// the check.
 	ProcessEnded func(ctx context.Context, addr string) bool
-	// RateShare returns the fraction of the declared rates of a pool's endpoints that this instance may
-	// use; nil selects all of it.
+	// RateShare returns the fraction of the declared rates of a pool's endpoints that this instance
+	// may use; nil selects all of it.
 	RateShare func(pool string) float64
 }
 
@@ -65,13 +65,13 @@
 	if pln == nil {
 		return
 	}
-	makers := map[string][]gather.Endpoint{}
+	byPool := map[string][]gather.Endpoint{}
 	for _, ep := range endpoints {
-		makers[ep.Pool] = append(makers[ep.Pool], gather.Endpoint{ID: string(ep.ID), Addr: ep.Addr, Zone: ep.Zone, Leaving: ep.Leaving})
+		byPool[ep.Pool] = append(byPool[ep.Pool], gather.Endpoint{ID: string(ep.ID), Addr: ep.Addr, Zone: ep.Zone, Leaving: ep.Leaving})
 	}
 	for name, pol := range pln.Pools() {
 		if spc := pol.Batch(); spc != nil {
-			btr.pool(name).sync(*spc, makers[name], rates)
+			btr.pool(name).sync(*spc, byPool[name], rates)
 		}
 	}
 }
@@ -96,7 +96,8 @@
 // Release releases results at the endpoints that hold them.
 func (btr *Batcher) Release(rrq ReleaseRequest) { btr.pool(rrq.Pool).free(rrq.Results) }
 
-// EstimateWait estimates how long an item added now would wait in a pool coordinated by this instance.
+// EstimateWait estimates how long an item added now would wait in a pool coordinated by this
+// instance.
 func (btr *Batcher) EstimateWait(name string) clock.Milli { return btr.pool(name).wait() }
 
 func afterFunc(span clock.Milli, work func()) { time.AfterFunc(span.Duration(), work) }
--- a/internal/batch/coalesce_test.go
+++ b/internal/batch/coalesce_test.go
@@ -17,9 +17,10 @@
 	return pol.sched.Waiting()
 }
 
-// TestConcurrentOrdersAreCoalesced checks that the orders of three requests that were served by one
-// call of the previous stage, and arrive one after the other from several instances, share one
-// batch. Without the delay the first went alone, and the others waited for another endpoint.
+// TestConcurrentOrdersAreCoalesced checks that the orders of three requests, which were served by
+// one batch of the previous stage and arrive one after the other from several instances, share one
+// batch. Without coalesceDelay the first order got a batch of its own, and the others waited for
+// another endpoint.
 func TestConcurrentOrdersAreCoalesced(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	timers := make(chan func(), 9)
--- a/internal/batch/crash.go
+++ b/internal/batch/crash.go
@@ -31,12 +31,12 @@
 }
 
 // recordCrash records the crash of a call's endpoint on each order that had items in the call.
-// Retried items of these orders run in batches of their own: in a shared batch all of them would be
-// suspected of the next crash as well.
+// Items of these orders are retried in batches of their own: in a shared batch, all of them would
+// be suspected of the next crash as well.
 func (pol *pool) recordCrash(bat gather.Batch) {
 	id := ident.Process(bat.Endpoint.ID)
-	for _, pc := range bat.Items {
-		if ref, ok := pol.refs[pc.ID]; ok && !slices.Contains(ref.ord.crashes, id) {
+	for _, itm := range bat.Items {
+		if ref, ok := pol.refs[itm.ID]; ok && !slices.Contains(ref.ord.crashes, id) {
 			ref.ord.crashes = append(ref.ord.crashes, id)
 		}
 	}
--- a/internal/batch/fetch.go
+++ b/internal/batch/fetch.go
@@ -11,8 +11,8 @@
 	// minFetchTime is the minimum time after which a call's endpoint is assumed to have fetched the
 	// inputs: the call itself and the fetches take a few milliseconds each to arrive.
 	minFetchTime = 60 * clock.Milli(1)
-	// fetchTimeFactor allows for other transfers on the same links: the fetches of a call may take
-	// this many times as long as on an idle link.
+	// fetchTimeFactor is how many times as long as on an idle link the fetches of a call may take,
+	// since other transfers share the link.
 	fetchTimeFactor = 4
 	// inputHoldTime is how long inputs are held until their calls end after an endpoint found
 	// inputs already released. That happens while a second instance coordinates the pool and its
@@ -56,8 +56,8 @@
 	pol.mtx.Lock()
 	defer pol.mtx.Unlock()
 	var bytes int64
-	for _, pc := range bat.Items {
-		if ref, ok := pol.refs[pc.ID]; ok {
+	for _, itm := range bat.Items {
+		if ref, ok := pol.refs[itm.ID]; ok {
 			bytes += ref.ord.InputBytes
 		}
 	}
@@ -76,8 +76,8 @@
 	if pol.set.Clock.Now() < pol.holdInputsUntil {
 		return
 	}
-	for _, pc := range bat.Items {
-		ref, ok := pol.refs[pc.ID]
+	for _, itm := range bat.Items {
+		ref, ok := pol.refs[itm.ID]
 		if !ok || ref.ord.completed {
 			continue
 		}
--- a/internal/batch/fetch_test.go
+++ b/internal/batch/fetch_test.go
@@ -20,12 +20,12 @@
 // fixture is a batcher with one pool of one endpoint whose answers are scripted.
 type fixture struct {
 	btr *Batcher
-	// calls receives the calls that the endpoint gets, errs supplies their errors, and flaw is the
-	// flaw reported for each item.
-	calls chan []proto.Item
-	errs  chan error
-	flaw  atomic.Int64
-	// released receives the lots that are released.
+	// calls receives the calls that the endpoint gets, errs supplies their errors, and failure is
+	// the failure reported for each item.
+	calls   chan []proto.Item
+	errs    chan error
+	failure atomic.Int64
+	// released receives the sets of results that are released.
 	released chan ResultSet
 }
 
@@ -40,7 +40,7 @@
 			err := <-fxt.errs
 			made := make([]proto.ItemResult, len(items))
 			for i := range made {
-				if made[i].Failure = proto.Failure(fxt.flaw.Load()); made[i].Failure == proto.NoFailure {
+				if made[i].Failure = proto.Failure(fxt.failure.Load()); made[i].Failure == proto.NoFailure {
 					made[i].Handle = items[i].Request
 				}
 			}
@@ -50,9 +50,9 @@
 	}
 	fxt.btr = New(Setup{
 		Dialect: dia, After: after, Meter: meter.New(), Log: zerolog.Nop(), Share: 0.1, Reserve: 10, Window: 10 * clock.Second,
-		OnInputsFetched: func(lots []ResultSet) {
-			for _, lot := range lots {
-				fxt.released <- lot
+		OnInputsFetched: func(sets []ResultSet) {
+			for _, set := range sets {
+				fxt.released <- set
 			}
 		},
 	})
@@ -63,14 +63,14 @@
 	return fxt
 }
 
-// order places an order of two items that share one lot of inputs.
+// order places an order of two items that share one set of inputs.
 func (fxt *fixture) order() chan OrderResult {
 	out := make(chan OrderResult, 1)
-	lot := ResultSet{Coordinator: "here:1", Release: ReleaseRequest{Pool: "notes", Results: []Handle{{Name: "note-1"}}}}
+	set := ResultSet{Coordinator: "here:1", Release: ReleaseRequest{Pool: "notes", Results: []Handle{{Name: "note-1"}}}}
 	go func() {
 		out <- fxt.btr.Fill(context.Background(), Order{
 			Pool: "ranks", Request: "r1", Stage: 1, Count: 2, Inputs: []string{"note-1"}, InputBytes: 1000,
-			LastInputs: []ResultSet{lot}, Due: 20 * clock.Second, Expires: 30 * clock.Second,
+			LastInputs: []ResultSet{set}, Due: 20 * clock.Second, Expires: 30 * clock.Second,
 		})
 	}()
 	return out
@@ -112,7 +112,7 @@
 
 // TestFailureAfterFetchIsNotRetried checks that a call which fails after its inputs were released
 // is not retried: a retry would take the time of a call and find no inputs. The caller gets
-// InputGone and has the inputs recomputed.
+// InputLost and has the inputs recomputed.
 func TestFailureAfterFetchIsNotRetried(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	fxt := newFixture(2)
@@ -131,13 +131,13 @@
 func TestInputsAreHeldWhileCoordinatorsOverlap(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	fxt := newFixture(2)
-	fxt.flaw.Store(int64(proto.InputLost))
+	fxt.failure.Store(int64(proto.InputLost))
 	filled := fxt.order()
 	gom.Eventually(fxt.released, soon).Should(gomega.Receive())
 	fxt.errs <- nil
 	gom.Eventually(filled, soon).Should(gomega.Receive(gomega.HaveField("Failure", proto.InputLost)))
 
-	fxt.flaw.Store(int64(proto.NoFailure))
+	fxt.failure.Store(int64(proto.NoFailure))
 	filled = fxt.order()
 	gom.Consistently(fxt.released, 4*minFetchTime.Duration()).ShouldNot(gomega.Receive())
 	fxt.errs <- nil
--- a/internal/batch/order.go
+++ b/internal/batch/order.go
@@ -19,7 +19,7 @@
 	Bytes int64  `cbor:"7,keyasint,omitempty"`
 	Zone  string `cbor:"8,keyasint,omitempty"`
 	Rank  int    `cbor:"9,keyasint,omitempty"`
-	// Due is the span within which the items should be done, Until the span after which their
+	// Due is the span within which the items should be done, Expires the span after which their
 	// results are useless.
 	Due     clock.Milli `cbor:"10,keyasint"`
 	Expires clock.Milli `cbor:"11,keyasint"`
@@ -27,8 +27,8 @@
 	LocalUntil clock.Milli `cbor:"12,keyasint,omitempty"`
 	// InputBytes is the total size of the inputs of one item.
 	InputBytes int64 `cbor:"13,keyasint,omitempty"`
-	// LastInputs lists the inputs that no other order uses: they are released as soon as all items have
-	// fetched them.
+	// LastInputs lists the inputs that no other order uses: they are released as soon as all items
+	// have fetched them.
 	LastInputs []ResultSet `cbor:"14,keyasint,omitempty"`
 	// Recompute is set when the results existed before and were lost.
 	Recompute bool `cbor:"15,keyasint,omitempty"`
@@ -37,8 +37,8 @@
 	Exclusive bool `cbor:"16,keyasint,omitempty"`
 }
 
-// ResultSet is a set of results of one pool, with the address of the instance that coordinated their
-// computation.
+// ResultSet is a set of results of one pool, with the address of the coordinator that had them
+// computed.
 type ResultSet struct {
 	Coordinator string         `cbor:"1,keyasint"`
 	Release     ReleaseRequest `cbor:"2,keyasint"`
@@ -46,12 +46,12 @@
 
 // OrderResult is the outcome of an order.
 type OrderResult struct {
-	// Results has one handle per item, unless Flaw gives the reason for a failure.
+	// Results has one handle per item, unless Failure says why there are none.
 	Results []Handle      `cbor:"1,keyasint,omitempty"`
 	Failure proto.Failure `cbor:"2,keyasint,omitempty"`
 	// Wait is how long an item added now would wait at this instance.
 	Wait clock.Milli `cbor:"3,keyasint,omitempty"`
-	// InputsReleased is set when the inputs in the order's Last have been released.
+	// InputsReleased is set when the order's LastInputs have been released.
 	InputsReleased bool `cbor:"4,keyasint,omitempty"`
 	// Crashed lists the endpoints that crashed while they had items of the order.
 	Crashed []ident.Process `cbor:"5,keyasint,omitempty"`
@@ -80,15 +80,15 @@
 	tries     []int
 	fetch     fetchState
 	crashes   []ident.Process
-	flaw      proto.Failure
+	failure   proto.Failure
 	completed bool
 	done      chan struct{}
 }
 
 // complete ends an order, with [proto.NoFailure] if it succeeded.
-func (ord *order) complete(flaw proto.Failure) {
+func (ord *order) complete(failure proto.Failure) {
 	if !ord.completed {
-		ord.completed, ord.flaw = true, flaw
+		ord.completed, ord.failure = true, failure
 		close(ord.done)
 	}
 }
--- a/internal/batch/pool.go
+++ b/internal/batch/pool.go
@@ -49,10 +49,11 @@
 	next  int64
 	// linkMbps is the bandwidth at which endpoints fetch inputs; zero if unknown.
 	linkMbps float64
-	// holdInputsUntil is the instant until which inputs are held to the end of their calls.
+	// holdInputsUntil is the time until which inputs are held to the end of the calls that fetch
+	// them.
 	holdInputsUntil clock.Milli
 	budget          budget
-	// wakeAt is the latest instant of the next dispatch.
+	// wakeAt is the latest time of the next dispatch.
 	wakeAt          clock.Milli
 	pendingReleases map[string][]string
 	// inFlight has the calls in progress.
@@ -69,15 +70,15 @@
 	return &pool{set: set, name: name, refs: map[int64]itemRef{}, pendingReleases: map[string][]string{}, budget: newBudget(set)}
 }
 
-func (pol *pool) sync(spc plan.DraftBatch, makers []gather.Endpoint, rates map[string]float64) {
+func (pol *pool) sync(spc plan.DraftBatch, endpoints []gather.Endpoint, rates map[string]float64) {
 	pol.mtx.Lock()
 	defer pol.mtx.Unlock()
 	pol.rates.Sync(rates)
 	pol.sched.Set(gather.Spec{Slots: spc.Slots, MaxItems: spc.MaxItems, BatchMs: spc.Call, ItemMs: spc.Item, Capacity: spc.ResultBytes, TTL: spc.ResultTTL})
-	pol.linkMbps, pol.resultStorage, pol.resultTTL, pol.endpoints = spc.Link, spc.ResultBytes, spc.ResultTTL, makers
-	pol.sched.Sync(makers)
-	for _, mkr := range makers {
-		pol.inFlight.RunListed(ident.Process(mkr.ID))
+	pol.linkMbps, pol.resultStorage, pol.resultTTL, pol.endpoints = spc.Link, spc.ResultBytes, spc.ResultTTL, endpoints
+	pol.sched.Sync(endpoints)
+	for _, ep := range endpoints {
+		pol.inFlight.RunListed(ident.Process(ep.ID))
 	}
 	pol.dispatch()
 }
@@ -126,8 +127,8 @@
 // finish completes an order and returns its outcome. The results of a failed order are released.
 func (pol *pool) finish(ord *order) OrderResult {
 	ord.complete(proto.Late)
-	out := OrderResult{Failure: ord.flaw, Wait: pol.sched.Wait(pol.set.Clock.Now()), InputsReleased: ord.fetch.released, Crashed: ord.crashes}
-	if ord.flaw == proto.NoFailure {
+	out := OrderResult{Failure: ord.failure, Wait: pol.sched.Wait(pol.set.Clock.Now()), InputsReleased: ord.fetch.released, Crashed: ord.crashes}
+	if ord.failure == proto.NoFailure {
 		out.Results = ord.results
 		return out
 	}
@@ -150,18 +151,18 @@
 	}
 }
 
-// add puts an item of an order into the scheduler; rest is set when other items of the order are
+// add puts an item of an order into the scheduler; begun is set when other items of the order are
 // done or in progress.
-func (pol *pool) add(ord *order, index int, rest bool) {
+func (pol *pool) add(ord *order, index int, begun bool) {
 	pol.next++
 	pol.refs[pol.next] = itemRef{ord: ord, index: index}
 	pol.sched.Add(gather.Item{
-		ID: pol.next, Job: ord.job, Due: ord.Due, Expires: ord.Expires, Priority: ord.Rank, Zone: ord.Zone, LocalUntil: ord.LocalUntil, Bytes: ord.Bytes, Begun: rest,
+		ID: pol.next, Job: ord.job, Due: ord.Due, Expires: ord.Expires, Priority: ord.Rank, Zone: ord.Zone, LocalUntil: ord.LocalUntil, Bytes: ord.Bytes, Begun: begun,
 		Exclusive: ord.Exclusive || len(ord.crashes) > 0,
 	})
 }
 
-// dispatch makes the calls that the scheduler selects.
+// dispatch sends the batches that the scheduler selects, and fails the items that have expired.
 func (pol *pool) dispatch() {
 	now := pol.set.Clock.Now()
 	share := pol.holdRateLimited(now)
@@ -175,8 +176,8 @@
 		go pol.call(bat)
 	}
 	// Only after the calls: an item that still got a slot has not expired.
-	for _, pc := range pol.sched.TakeExpired(now) {
-		pol.failItem(pc.ID, proto.Late)
+	for _, itm := range pol.sched.TakeExpired(now) {
+		pol.failItem(itm.ID, proto.Late)
 	}
 	if pol.sched.Waiting() == 0 {
 		return
@@ -202,16 +203,16 @@
 }
 
 // failItem fails the order of an item that can't be made.
-func (pol *pool) failItem(id int64, flaw proto.Failure) {
+func (pol *pool) failItem(id int64, failure proto.Failure) {
 	ref, ok := pol.refs[id]
 	if !ok {
 		return
 	}
 	delete(pol.refs, id)
-	ref.ord.complete(flaw)
+	ref.ord.complete(failure)
 }
 
-// call makes one call and handles its response.
+// call sends one batch to its endpoint and handles the response.
 func (pol *pool) call(bat gather.Batch) {
 	items := pol.requestItems(bat)
 	ctx, cancel := context.WithTimeout(context.Background(), bat.Timeout.Duration())
@@ -242,10 +243,10 @@
 	defer pol.mtx.Unlock()
 	now := pol.set.Clock.Now()
 	items := make([]proto.Item, len(bat.Items))
-	for i, pc := range bat.Items {
-		ref := pol.refs[pc.ID]
+	for i, itm := range bat.Items {
+		ref := pol.refs[itm.ID]
 		items[i] = proto.Item{
-			Request: ref.ord.Request, Stage: ref.ord.Stage, Index: ref.index, Left: max(pc.Expires-now, 1),
+			Request: ref.ord.Request, Stage: ref.ord.Stage, Index: ref.index, Left: max(itm.Expires-now, 1),
 			Key: ref.ord.Key, Inputs: ref.ord.Inputs,
 		}
 	}
@@ -255,7 +256,7 @@
 // handleResponse records the outcome of each item of a call.
 func (pol *pool) handleResponse(bat gather.Batch, made []proto.ItemResult, err error) {
 	var stored []gather.Result
-	for i, pc := range bat.Items {
+	for i, itm := range bat.Items {
 		out := proto.ItemResult{Failure: proto.Broken}
 		switch {
 		case err == nil:
@@ -264,18 +265,18 @@
 			out.Failure = proto.NoRoom
 		}
 		if out.Handle != "" {
-			stored = append(stored, gather.Result{Handle: out.Handle, Bytes: pc.Bytes})
+			stored = append(stored, gather.Result{Handle: out.Handle, Bytes: itm.Bytes})
 		}
 	}
 	pol.sched.Ended(bat.ID, verdict(err), stored, pol.set.Clock.Now())
-	for i, pc := range bat.Items {
+	for i, itm := range bat.Items {
 		switch {
 		case err == nil:
-			pol.handleItem(pc.ID, made[i], bat.Endpoint)
+			pol.handleItem(itm.ID, made[i], bat.Endpoint)
 		case errors.Is(err, proto.ErrFull):
-			pol.retryItem(pc.ID, proto.NoRoom)
+			pol.retryItem(itm.ID, proto.NoRoom)
 		default:
-			pol.retryItem(pc.ID, proto.Broken)
+			pol.retryItem(itm.ID, proto.Broken)
 		}
 	}
 }
@@ -290,15 +291,15 @@
 	return gather.Failed
 }
 
-func (pol *pool) handleItem(id int64, made proto.ItemResult, mkr gather.Endpoint) {
+func (pol *pool) handleItem(id int64, made proto.ItemResult, ep gather.Endpoint) {
 	ref, ok := pol.refs[id]
 	if !ok {
 		return
 	}
-	res := Handle{Name: made.Handle, Addr: mkr.Addr, Zone: mkr.Zone}
+	res := Handle{Name: made.Handle, Addr: ep.Addr, Zone: ep.Zone}
 	switch {
 	case made.Failure == proto.NoRoom:
-		pol.sched.MarkFull(mkr.ID, pol.set.Clock.Now())
+		pol.sched.MarkFull(ep.ID, pol.set.Clock.Now())
 		pol.retryItem(id, made.Failure)
 	case made.Failure == proto.Broken:
 		pol.retryItem(id, made.Failure)
@@ -308,7 +309,7 @@
 	case made.Failure != proto.NoFailure:
 		pol.failItem(id, made.Failure)
 	case ref.ord.completed:
-		// The caller has left, and nobody else has the handle.
+		// The caller has disconnected, and nobody else has the handle.
 		delete(pol.refs, id)
 		pol.queueRelease(res)
 	default:
@@ -321,7 +322,7 @@
 }
 
 // retryItem puts a failed item back into the scheduler, within the retry budget and maxTries.
-func (pol *pool) retryItem(id int64, flaw proto.Failure) {
+func (pol *pool) retryItem(id int64, failure proto.Failure) {
 	ref, ok := pol.refs[id]
 	if !ok {
 		return
@@ -337,7 +338,7 @@
 		ref.ord.complete(proto.InputLost)
 		return
 	case ref.ord.tries[ref.index] >= maxTries || !pol.budget.allowRetry():
-		ref.ord.complete(flaw)
+		ref.ord.complete(failure)
 		return
 	}
 	pol.set.Meter.CountRetry(retry.Refused)
@@ -346,23 +347,23 @@
 
 // logCall logs a call, at a higher level if it failed wholly or in part.
 func (pol *pool) logCall(bat gather.Batch, made []proto.ItemResult, took clock.Milli, err error) {
-	flawed, room := 0, 0
-	for _, mad := range made {
-		if mad.Failure != proto.NoFailure {
-			flawed++
+	failed, full := 0, 0
+	for _, res := range made {
+		if res.Failure != proto.NoFailure {
+			failed++
 		}
-		if mad.Failure == proto.NoRoom {
-			room++
+		if res.Failure == proto.NoRoom {
+			full++
 		}
 	}
 	evt := pol.set.Log.Debug()
 	switch {
 	case err != nil:
 		evt = pol.set.Log.Warn().Err(err)
-	case flawed > 0:
+	case failed > 0:
 		evt = pol.set.Log.Info()
 	}
-	evt.Str("pool", pol.name).Str("endpoint", bat.Endpoint.ID).Int("pieces", len(bat.Items)).Int("flawed", flawed).Int("no_room", room).
+	evt.Str("pool", pol.name).Str("endpoint", bat.Endpoint.ID).Int("pieces", len(bat.Items)).Int("flawed", failed).Int("no_room", full).
 		Int64("held_bytes", pol.sched.HeldBytes(bat.Endpoint.ID)).Int("waiting", pol.sched.Waiting()).
 		Int64("took_ms", int64(took)).Int64("give_up_ms", int64(bat.Timeout)).Msg("batch call ended")
 }
--- a/internal/batch/rates.go
+++ b/internal/batch/rates.go
@@ -10,18 +10,18 @@
 // returns the fraction of the rates that this instance may use, -1 if no endpoint declares one.
 func (pol *pool) holdRateLimited(now clock.Milli) (share float64) {
 	share = -1
-	for _, mkr := range pol.endpoints {
-		if !pol.rates.Has(mkr.ID) {
+	for _, ep := range pol.endpoints {
+		if !pol.rates.Has(ep.ID) {
 			continue
 		}
 		if share < 0 {
 			share = pol.rateShare()
 		}
-		wait := pol.rates.Wait(mkr.ID, now)
+		wait := pol.rates.Wait(ep.ID, now)
 		if share == 0 {
 			wait = max(wait, rateRecheckInterval)
 		}
-		pol.sched.Pause(mkr.ID, now+wait)
+		pol.sched.Pause(ep.ID, now+wait)
 	}
 	return share
 }
@@ -36,9 +36,9 @@
 // releaseInterval returns the minimum time between two calls that release results at the endpoint
 // at an address; these calls count towards its declared rate.
 func (pol *pool) releaseInterval(addr string) clock.Milli {
-	for _, mkr := range pol.endpoints {
-		if mkr.Addr == addr {
-			return pol.rates.Interval(mkr.ID)
+	for _, ep := range pol.endpoints {
+		if ep.Addr == addr {
+			return pol.rates.Interval(ep.ID)
 		}
 	}
 	return 0
@@ -46,9 +46,9 @@
 
 // countRelease counts a call that releases results towards the endpoint's declared rate.
 func (pol *pool) countRelease(addr string) {
-	for _, mkr := range pol.endpoints {
-		if mkr.Addr == addr {
-			pol.rates.Take(mkr.ID, 1, pol.set.Clock.Now())
+	for _, ep := range pol.endpoints {
+		if ep.Addr == addr {
+			pol.rates.Take(ep.ID, 1, pol.set.Clock.Now())
 		}
 	}
 }
--- a/internal/batch/storage.go
+++ b/internal/batch/storage.go
@@ -13,10 +13,10 @@
 )
 
 // A new coordinator of a pool doesn't know the results that its endpoints hold for the previous
-// one, which has stopped or lost power. They take storage until they are released or expire. Calls
-// that ignore this come back with half of their items refused, and requests are abandoned half way.
-// The coordinator therefore polls the endpoints for their free result storage until all that they
-// hold is known.
+// one, which has stopped or lost power. They take storage until they are released or expire. If this
+// were ignored, calls would come back with half of their items refused, and requests would be
+// abandoned half way. The coordinator therefore polls the endpoints for their free result storage
+// until all that they hold is known.
 
 const (
 	// storagePollInterval is the time between two rounds of polling.
@@ -64,14 +64,14 @@
 	slots := make(chan struct{}, storagePollParallel)
 	var grp sync.WaitGroup
 	var held, failures atomic.Int64
-	for _, mkr := range list {
-		if pol.hasDeclaredRate(mkr.ID) {
+	for _, ep := range list {
+		if pol.hasDeclaredRate(ep.ID) {
 			continue
 		}
 		grp.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			bytes, err := pol.queryFreeStorage(mkr)
+			bytes, err := pol.queryFreeStorage(ep)
 			held.Add(bytes)
 			if err != nil {
 				failures.Add(1)
@@ -91,15 +91,15 @@
 }
 
 // queryFreeStorage queries one endpoint and returns the bytes that it holds for other coordinators.
-func (pol *pool) queryFreeStorage(mkr gather.Endpoint) (int64, error) {
+func (pol *pool) queryFreeStorage(ep gather.Endpoint) (int64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), storagePollTimeout)
 	defer cancel()
-	free, err := pol.set.Dialect.FreeStorage(ctx, pol.set.Client, proto.Endpoint{ID: ident.Process(mkr.ID), Pool: pol.name, Addr: mkr.Addr, Zone: mkr.Zone})
+	free, err := pol.set.Dialect.FreeStorage(ctx, pol.set.Client, proto.Endpoint{ID: ident.Process(ep.ID), Pool: pol.name, Addr: ep.Addr, Zone: ep.Zone})
 	if err != nil {
 		return 0, err
 	}
 	pol.mtx.Lock()
 	defer pol.mtx.Unlock()
 	defer pol.dispatch()
-	return pol.sched.ReportFree(mkr.ID, free, pol.set.Clock.Now()), nil
+	return pol.sched.ReportFree(ep.ID, free, pol.set.Clock.Now()), nil
 }
--- a/internal/batch/storage_test.go
+++ b/internal/batch/storage_test.go
@@ -17,7 +17,7 @@
 
 // TestEndpointsArePolledForStorage: the previous coordinator of a pool has lost power, and half of
 // the storage of one of its two endpoints holds results that nobody will release. The new
-// coordinator polls both, one of which doesn't answer, and orders only as many items as fit. Once
+// coordinator polls both, one of which doesn't answer, and sends only as many items as fit. Once
 // the endpoint has dropped the old results the polling stops.
 func TestEndpointsArePolledForStorage(t *testing.T) {
 	gom := gomega.NewWithT(t)
