--- a/internal/coord/coord.go
+++ b/internal/coord/coord.go
@@ -1,9 +1,9 @@
 // Package coord finds the coordinator of a pool, the instance that batches the pool's items or
 // places its prompts, and sends orders and placement requests to it.
 //
-// The coordinators follow from the membership. One that sends no keep-alive is abandoned for the
-// next, and this instance batches locally after three have failed: a request must not fail, nor run
-// out of time, because another instance died.
+// The ranking of the coordinators follows from the membership. If one sends no keep-alive, the
+// order goes to the next one, and after three failures this instance batches locally: a request must
+// not fail, nor run out of time, because another instance died.
 package coord
 
 import (
@@ -53,7 +53,7 @@
 	Control *state.Control
 	Batcher *batch.Batcher
 	Pools   *pools.Pools
-	// Link is nil for a single instance.
+	// Link is nil for a standalone instance.
 	Link  *peer.Link
 	Clock clock.Clock
 	Log   zerolog.Logger
@@ -64,12 +64,13 @@
 	After func(span clock.Milli, work func())
 }
 
-// Coordinator sends orders, placement requests and queries to the coordinators of pools, and serves those
-// of other instances. It tracks which coordinators are unresponsive and how long items wait there.
+// Coordinator sends orders, placement requests and queries to the coordinators of pools, and serves
+// those of other instances. It tracks which coordinators are unresponsive and how long items wait
+// there. It is created by [New].
 type Coordinator struct {
 	set Setup
-	// joined is closed once this instance has had joinTimeout to receive the membership; it may
-	// have it earlier.
+	// joined is closed joinTimeout after the start. The membership may be known earlier; see
+	// hasJoined.
 	joined chan struct{}
 
 	mtx               sync.Mutex
@@ -80,13 +81,13 @@
 	arrivals arrivals
 	reports  reports
 	tenures  tenures
-	// permits holds until when the coordinators of plain pools have no permit.
+	// permits records until when the coordinators of plain pools have no permits.
 	permits permits
 	// placeTimeouts counts consecutive placement requests without an answer.
 	placeTimeouts map[ident.Incarnation]int
 }
 
-// New starts with every instance taken for responsive.
+// New returns a coordinator that takes every other instance for responsive.
 func New(set Setup) *Coordinator {
 	if set.After == nil {
 		set.After = func(span clock.Milli, work func()) { time.AfterFunc(span.Duration(), work) }
@@ -100,8 +101,9 @@
 	return crd
 }
 
-// Fill sends an order to the pool's coordinator, then to its successors, and finally fills it
-// locally. It also returns the address of the instance that filled it.
+// Fill sends an order to the pool's coordinator, if that fails to its successors, and as a last
+// resort fills it locally. left returns the time left of the order, and is called before each try.
+// Fill also returns the address of the instance that filled the order.
 func (crd *Coordinator) Fill(ctx context.Context, ord batch.Order, left func() (due, until clock.Milli)) (batch.OrderResult, string) {
 	select {
 	case <-crd.joined:
@@ -127,7 +129,7 @@
 		if ctx.Err() != nil {
 			return batch.OrderResult{}, inc.Addr()
 		}
-		crd.logLost(inc, ord, err)
+		crd.orderFailed(inc, ord, err)
 	}
 	ord.Due, ord.Expires = left()
 	orr := crd.set.Batcher.Fill(ctx, ord)
@@ -169,7 +171,8 @@
 	return crd.set.Clock.Now() < crd.unresponsiveUntil[inc]
 }
 
-func (crd *Coordinator) logLost(inc ident.Incarnation, ord batch.Order, err error) {
+// orderFailed logs that an order got no answer, and marks the coordinator as unresponsive.
+func (crd *Coordinator) orderFailed(inc ident.Incarnation, ord batch.Order, err error) {
 	crd.set.Log.Warn().Err(err).Str("request", ord.Request).Str("pool", ord.Pool).Str("gatherer", string(inc)).Msg("order failed at the coordinator")
 	crd.markUnresponsive(inc)
 }
@@ -183,17 +186,17 @@
 	crd.set.Control.Suspect(inc)
 }
 
-// ReleaseAll releases lots of results.
-func (crd *Coordinator) ReleaseAll(lots []batch.ResultSet) {
-	for _, lot := range lots {
-		crd.Release(lot.Coordinator, lot.Release)
+// ReleaseAll releases several sets of results.
+func (crd *Coordinator) ReleaseAll(sets []batch.ResultSet) {
+	for _, set := range sets {
+		crd.Release(set.Coordinator, set.Release)
 	}
 }
 
-// Release releases results through the coordinator that had them computed. If that instance can't be
-// reached, this one sends the release to the endpoints.
-func (crd *Coordinator) Release(home string, rrq batch.ReleaseRequest) {
-	if home == "" || home == crd.set.Control.Self().Addr() || crd.set.Link == nil {
+// Release releases results through the coordinator that had them computed, given by its address. If
+// that instance can't be reached, this one releases the results at the endpoints.
+func (crd *Coordinator) Release(addr string, rrq batch.ReleaseRequest) {
+	if addr == "" || addr == crd.set.Control.Self().Addr() || crd.set.Link == nil {
 		crd.set.Batcher.Release(rrq)
 		return
 	}
@@ -205,7 +208,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
 		msg := peer.Message{Kind: peer.ReleaseResults, From: crd.set.Control.Self(), Body: body}
-		if ans, err := crd.set.Link.Call(ctx, home, msg); err != nil || ans.Kind != peer.OK {
+		if ans, err := crd.set.Link.Call(ctx, addr, msg); err != nil || ans.Kind != peer.OK {
 			crd.set.Batcher.Release(rrq)
 		}
 	}()
--- a/internal/coord/coord_test.go
+++ b/internal/coord/coord_test.go
@@ -22,8 +22,8 @@
 	"amaranthvalve/pkg/plan"
 )
 
-// starting returns the [Coordinator] of an instance that has just started, its timers, which the test
-// fires, and the calls that its batcher makes.
+// starting returns the [Coordinator] of an instance that has just started, its timers, which the
+// test fires, and the calls that its batcher makes.
 func starting() (*Coordinator, chan func(), chan []proto.Item) {
 	calls, timers := make(chan []proto.Item, 9), make(chan func(), 9)
 	dia := &proto.Dialect{RunBatch: func(_ context.Context, _ *http.Client, _ proto.Endpoint, items []proto.Item) ([]proto.ItemResult, proto.ReplyMeta, error) {
@@ -43,8 +43,8 @@
 
 // TestOrdersWaitForMembership: all instances have restarted, and requests arrive before the
 // instances know each other. An order waits until this instance has had the time to learn the
-// coordinator. Batched at once, the items of each instance would go to the endpoints in batches of
-// their own and fill their queues.
+// coordinator. Otherwise each instance would send its items to the endpoints in small batches of its
+// own and fill their queues.
 func TestOrdersWaitForMembership(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	crd, timers, calls := starting()
@@ -61,7 +61,8 @@
 	gom.Eventually(ends, 5*time.Second).Should(gomega.Receive(gomega.HaveField("Results", gomega.HaveLen(1))))
 }
 
-// TestCallerLeavesBeforeMembership checks that Fill returns when the caller leaves meanwhile.
+// TestCallerLeavesBeforeMembership checks that Fill returns when the caller disconnects while it
+// waits for the membership.
 func TestCallerLeavesBeforeMembership(t *testing.T) {
 	crd, _, _ := starting()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -72,7 +73,7 @@
 
 // TestNewCoordinatorQueriesCaches: the instance that placed prompts has died, and this one takes
 // over. It queries the cache of each engine once, though one of them doesn't answer, and places the
-// next question about a document at the engine that has read the document.
+// next prompt about a document at the engine that has prefilled the document.
 func TestNewCoordinatorQueriesCaches(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	pln, _ := plan.Compile(plan.Draft{Pools: []plan.DraftPool{{Name: "models", Engine: &plan.DraftEngine{Places: 8}}}})
@@ -105,8 +106,8 @@
 	}
 	gom.Eventually(func() int { return len(queried) }, 5*time.Second).Should(gomega.Equal(6))
 	gom.Eventually(func() string {
-		seat, _ := crd.Place(context.Background(), vw, "models", "r/0", place.Ask{Prompt: prm})
-		return string(seat.ID)
+		plc, _ := crd.Place(context.Background(), vw, "models", "r/0", place.Ask{Prompt: prm})
+		return string(plc.ID)
 	}, 5*time.Second).Should(gomega.Equal("e4"))
 	gom.Expect(queried).To(gomega.HaveLen(6))
 }
--- a/internal/coord/places.go
+++ b/internal/coord/places.go
@@ -17,13 +17,13 @@
 )
 
 // The coordinator of a pool of model engines places the prompts of all instances. It gets a
-// placement request before a prompt is sent, and a report of its first event and of its end. An
-// unresponsive coordinator is not waited for: the instance then places by its own records, as it
-// always records its own requests too.
+// placement request before a prompt is sent, and a report of its first event and of its end. If it
+// does not answer in time, an instance places the prompt by its own records, which it always keeps
+// of its own requests.
 
 const (
 	// placeTimeout bounds a placement request: a few round trips between data centres, and short
-	// against the time to read a prompt.
+	// against the time to prefill a prompt.
 	placeTimeout = 30 * time.Millisecond
 	// maxPlaceTimeouts is the number of consecutive placement requests without an answer after
 	// which the next instance becomes the coordinator. One that is merely busy answers some.
@@ -39,11 +39,12 @@
 	Pool   string    `cbor:"1,keyasint"`
 	Ticket string    `cbor:"2,keyasint"`
 	Ask    place.Ask `cbor:"3,keyasint"`
-	// Aim asks for the probable engine only: no slot is taken.
-	Aim bool `cbor:"4,keyasint,omitempty"`
+	// Predict requests a prediction of the engine only: no slot is taken.
+	Predict bool `cbor:"4,keyasint,omitempty"`
 }
 
-// placeReply answers a placeRequest.
+// placeReply answers a placeRequest with the engine, the address from which it can fetch cached
+// parts of the prompt, and for a prediction the time to prefill the prompt.
 type placeReply struct {
 	ID   string      `cbor:"1,keyasint,omitempty"`
 	From string      `cbor:"2,keyasint,omitempty"`
@@ -61,7 +62,8 @@
 	Span clock.Milli `cbor:"5,keyasint,omitempty"`
 }
 
-// Placement is the placement of a request, and the coordinator that chose it.
+// Placement is the endpoint chosen for a request, and the coordinator that chose it, empty if this
+// instance did.
 type Placement struct {
 	pools.Target
 	promptCoordinator ident.Incarnation
@@ -99,23 +101,23 @@
 	return Placement{Target: tgt}, ok
 }
 
-// Predict returns the model engine that a request will probably go to and its time to read the prompt;
-// false if there is none.
+// Predict returns the model engine that a request will probably go to, and its time to prefill the
+// prompt; false if there is none.
 func (crd *Coordinator) Predict(ctx context.Context, vw *state.View, pool string, ask place.Ask) (eng place.Engine, read clock.Milli, ok bool) {
 	if inc := crd.promptCoordinator(vw, pool); inc != crd.set.Control.Self() {
-		if prp, ok := crd.requestPlace(ctx, inc, placeRequest{Pool: pool, Ask: ask, Aim: true}); ok {
+		if prp, ok := crd.requestPlace(ctx, inc, placeRequest{Pool: pool, Ask: ask, Predict: true}); ok {
 			if eng, ok := crd.set.Pools.Find(pool, prp.ID); ok {
 				return eng, prp.Read, true
 			}
 		}
 	}
-	seat, ok := crd.set.Pools.Predict(pool, ask, crd.rateShareIn(vw, pool))
-	return seat.Engine, seat.Read, ok
+	plc, ok := crd.set.Pools.Predict(pool, ask, crd.rateShareIn(vw, pool))
+	return plc.Engine, plc.Read, ok
 }
 
-// promptCoordinator returns the instance that places a pool's prompts; this one for plain pools,
-// whose endpoints each instance chooses by itself. When this instance becomes the coordinator, it
-// queries the engines' caches.
+// promptCoordinator returns the instance that places a pool's prompts; for plain pools that is this
+// one, since each instance chooses their endpoints by itself. When this instance becomes the
+// coordinator, it queries the engines' caches.
 func (crd *Coordinator) promptCoordinator(vw *state.View, pool string) ident.Incarnation {
 	pol, ok := vw.Plan().Pool(pool)
 	if !ok || pol.Engine() == nil || crd.set.Link == nil || !crd.hasJoined() {
@@ -180,12 +182,12 @@
 	}
 	var prp placeReply
 	share := crd.RateShare(prq.Pool)
-	if prq.Aim {
-		if seat, ok := crd.set.Pools.Predict(prq.Pool, prq.Ask, share); ok {
-			prp = placeReply{ID: seat.Engine.ID, Read: seat.Read}
+	if prq.Predict {
+		if plc, ok := crd.set.Pools.Predict(prq.Pool, prq.Ask, share); ok {
+			prp = placeReply{ID: plc.Engine.ID, Read: plc.Read}
 		}
-	} else if seat, ok := crd.pick(prq.Pool, prq.Ticket, prq.Ask, share); ok {
-		prp = placeReply{ID: string(seat.ID), From: seat.FetchFrom}
+	} else if plc, ok := crd.pick(prq.Pool, prq.Ticket, prq.Ask, share); ok {
+		prp = placeReply{ID: string(plc.ID), From: plc.FetchFrom}
 	}
 	if body, err := cbor.Marshal(prp); err == nil {
 		ans.Kind, ans.Body = peer.OK, body
@@ -194,21 +196,22 @@
 }
 
 // FirstEvent records the first event of a request and the time that it took.
-func (crd *Coordinator) FirstEvent(pool string, seat Placement, took clock.Milli) {
-	if seat.Ticket == "" {
+func (crd *Coordinator) FirstEvent(pool string, plc Placement, took clock.Milli) {
+	if plc.Ticket == "" {
 		return
 	}
-	crd.set.Pools.FirstEvent(pool, seat.Ticket, took)
-	crd.reports.add(crd, seat.promptCoordinator, report{Pool: pool, Ticket: seat.Ticket, Span: took})
+	crd.set.Pools.FirstEvent(pool, plc.Ticket, took)
+	crd.reports.add(crd, plc.promptCoordinator, report{Pool: pool, Ticket: plc.Ticket, Span: took})
 }
 
-// RecordEnd records the end of a request at a model engine and the longest pause between its events.
-func (crd *Coordinator) RecordEnd(pool string, seat Placement, end place.Ending, pause clock.Milli) {
-	if seat.Ticket == "" {
+// RecordEnd records the end of a request at a model engine, and the longest pause between its
+// events.
+func (crd *Coordinator) RecordEnd(pool string, plc Placement, end place.Ending, pause clock.Milli) {
+	if plc.Ticket == "" {
 		return
 	}
-	crd.set.Pools.End(pool, seat.Ticket, end, pause)
-	crd.reports.add(crd, seat.promptCoordinator, report{Pool: pool, Ticket: seat.Ticket, Ended: true, End: end, Span: pause})
+	crd.set.Pools.End(pool, plc.Ticket, end, pause)
+	crd.reports.add(crd, plc.promptCoordinator, report{Pool: pool, Ticket: plc.Ticket, Ended: true, End: end, Span: pause})
 }
 
 // HandleReports handles reports on requests that were placed here; it is registered with the link.
@@ -227,8 +230,8 @@
 	return peer.Message{Kind: peer.OK, From: crd.set.Control.Self()}
 }
 
-// reports collects the reports for each coordinator. Lost reports are not repeated: a coordinator
-// drops requests without a report after a while.
+// reports collects the reports for each coordinator. Lost reports are not repeated, since a
+// coordinator drops requests without a report after a while.
 type reports struct {
 	mtx           sync.Mutex
 	byCoordinator map[ident.Incarnation][]report
--- a/internal/coord/rates.go
+++ b/internal/coord/rates.go
@@ -56,8 +56,8 @@
 	return before, true
 }
 
-// RateShare returns the fraction of the declared rates of a pool's endpoints that this instance may use
-// by the current view.
+// RateShare returns the fraction of the declared rates of a pool's endpoints that this instance may
+// use by the current view.
 func (crd *Coordinator) RateShare(pool string) float64 {
 	return crd.rateShareIn(crd.set.Control.View(), pool)
 }
@@ -69,7 +69,7 @@
 	Wait clock.Milli `cbor:"2,keyasint,omitempty"`
 }
 
-// permits holds until when the coordinator of a pool has no permit.
+// permits records, by pool, until when the coordinator has no permits. The zero value is empty.
 type permits struct {
 	mtx   sync.Mutex
 	until map[string]clock.Milli
--- a/internal/coord/tenures.go
+++ b/internal/coord/tenures.go
@@ -19,11 +19,11 @@
 	cacheQueryTimeout  = 300 * time.Millisecond
 )
 
-// tenures records since when this instance coordinates pools. The zero value is empty.
+// tenures records since when this instance has coordinated its pools. The zero value is empty.
 type tenures struct {
 	mtx    sync.Mutex
 	starts map[string]clock.Milli
-	// unseen has the pools whose beginning takeNew has not returned yet.
+	// unseen has the pools whose start takeNew has not reported yet.
 	unseen map[string]bool
 }
 
@@ -62,9 +62,9 @@
 // queryCaches queries the prompt caches of a pool's engines.
 //
 // The previous coordinator knew their contents and has stopped or died. Placed by rendezvous
-// hashing alone, prompts go to other engines than those that have read them: after a loss of all
-// instances, or in a rolling restart with its seven successions, more tokens were read again than
-// in all the rest of the time.
+// hashing alone, prompts go to other engines than those that have cached them: after a loss of all
+// instances, or in a rolling restart with seven changes of the coordinator, more tokens were
+// prefilled again than in all the rest of the time.
 func (crd *Coordinator) queryCaches(vw *state.View, pool string) {
 	if crd.set.CachedParts == nil {
 		return
--- a/internal/coord/waits.go
+++ b/internal/coord/waits.go
@@ -15,24 +15,24 @@
 )
 
 // Each answer to an order includes the estimated wait of the next item. When each of many instances
-// sends a few requests per second, that estimate is half a second old at the next request, as long
-// as a whole queue takes. Requests admitted by it were late when the queue had grown meanwhile, and
-// took slots and result storage from requests that were in time. The coordinators are therefore
-// queried before a request is admitted. They also know whether the request came before: a refused
-// caller may retry at any instance.
+// sends a few requests per second, that estimate is half a second old at the next request, and by
+// then a whole queue may have been served or built up. Requests admitted by it were late when the
+// queue had grown meanwhile, and took slots and result storage from requests that were in time. The
+// coordinators are therefore queried before a request is admitted. They also know whether the request
+// came before: a refused caller may retry at any instance.
 
 const (
 	// waitQueryTimeout bounds a wait query: a few round trips between data centres. Earlier
 	// estimates are used after that.
 	waitQueryTimeout = 30 * time.Millisecond
 	// arrivalTTL is how long the first arrival of a request is kept, so that retries are
-	// recognised: longer than the deadline of most callers.
+	// recognised: longer than the deadlines of most callers.
 	arrivalTTL = 20 * clock.Second
 	// maxArrivals bounds the kept arrivals: 20 s of 1,000 requests per second, 1 MB.
 	maxArrivals = 20000
 )
 
-// waitEstimate is a coordinator's wait estimate at an instant.
+// waitEstimate is a coordinator's wait estimate with the time at which it was received.
 type waitEstimate struct {
 	span clock.Milli
 	at   clock.Milli
@@ -44,8 +44,8 @@
 	crd.waitEstimates[pool] = waitEstimate{span: span, at: crd.set.Clock.Now()}
 }
 
-// EstimateWait estimates how long an item of a pool would wait: the coordinator's last estimate, less the
-// time since.
+// EstimateWait estimates how long an item of a pool would wait: the coordinator's last estimate, less
+// the time since.
 func (crd *Coordinator) EstimateWait(pool string) clock.Milli {
 	crd.mtx.Lock()
 	defer crd.mtx.Unlock()
@@ -69,10 +69,10 @@
 	Elapsed clock.Milli `cbor:"2,keyasint,omitempty"`
 }
 
-// QueryWaits queries the coordinators of pools for the wait estimates that [Coordinator.EstimateWait] returns, and
-// returns the time since the first arrival of the request at any instance, which the coordinator of
-// the first pool records. The last estimate of a coordinator that doesn't answer stays in use;
-// orders and probes find out whether it is gone.
+// QueryWaits queries the coordinators of pools for their wait estimates, which
+// [Coordinator.EstimateWait] then uses. It returns the time since the first arrival of the request at
+// any instance, which the coordinator of the first pool records. The last estimate of a coordinator
+// that doesn't answer stays in use; orders and probes detect whether that coordinator is gone.
 func (crd *Coordinator) QueryWaits(ctx context.Context, vw *state.View, fp uint64, pools []string) (elapsed clock.Milli) {
 	queries := map[ident.Incarnation]waitQuery{}
 	for i, pool := range pools {
@@ -104,7 +104,7 @@
 	return clock.Milli(total.Load())
 }
 
-// coordinator returns the instance that an order for a pool would go to.
+// coordinator returns the responsive coordinator of a pool, to which its orders go first.
 func (crd *Coordinator) coordinator(vw *state.View, pool string) ident.Incarnation {
 	for _, inc := range vw.Coordinators(pool) {
 		if !crd.isUnresponsive(inc) {
--- a/internal/pools/pools.go
+++ b/internal/pools/pools.go
@@ -1,9 +1,10 @@
-// Package pools holds the state that an instance has of the pools for final calls, and chooses the
-// endpoint of each call: model engines by prompt placement (package place), plain endpoints by the
-// power of two choices (package route). It also keeps the retry budgets of the pools.
+// Package pools holds what an instance knows of the pools for final calls, and chooses the endpoint
+// of each call: model engines by prompt placement (package place), plain endpoints by the power of
+// two choices (package route). It also keeps the retry budgets of the pools.
 //
-// The state of model engines serves two purposes: placing the prompts of a pool for all instances
-// while this one is its coordinator, and placing our own while the coordinator does not answer.
+// What it knows of model engines serves two purposes: to place the prompts of a pool for all
+// instances while this one is its coordinator, and to place the prompts of this instance while the
+// coordinator does not answer.
 package pools
 
 import (
@@ -39,7 +40,7 @@
 	Clock clock.Clock
 	Zone  string
 	// RetryReserve is the number of retries that a pool may get within the budget's window from all
-	// instances, in addition to the share RepeatShare of its first attempts.
+	// instances, in addition to the share RetryShare of its first attempts.
 	RetryReserve float64
 	RetryShare   float64
 }
@@ -50,20 +51,22 @@
 	Addr string
 	// Ticket identifies the call at a model engine; empty for plain endpoints.
 	Ticket string
-	// FetchFrom is the address of an engine from which this one can fetch cached parts of the prompt.
+	// FetchFrom is the address of an engine from which this one can fetch cached parts of the
+	// prompt.
 	FetchFrom string
 	// Full is set if all slots of a model engine are taken, as far as is known.
 	Full bool
-	// Placement is the placement by which a model engine was chosen; empty if another instance chose it.
+	// Placement describes the choice of a model engine; empty if another instance made it.
 	Placement place.Placement
 }
 
-// Pools is safe for concurrent use. It is made by [New].
+// Pools holds the pools for final calls. It is safe for concurrent use and created by [New].
 type Pools struct {
 	set    Setup
 	mtx    sync.Mutex
 	byName map[string]*poolState
-	// rates limits requests to endpoints that declare a rate, for the part that this instance owns.
+	// rates limits requests to endpoints that declare a rate, to the part that this instance may
+	// use.
 	rates limit.Rates
 	// firstBytes is the moving average of the time from a final call to its first byte, by route.
 	firstBytes map[string]float64
@@ -159,18 +162,18 @@
 		ep, ok := pst.plain.Pick(route.Ask{Avoid: ask.Avoid}, now)
 		return Target{ID: ident.Process(ep.ID), Addr: ep.Addr}, ok
 	}
-	seat, ok := pst.engines.Pick(ask, now)
+	plc, ok := pst.engines.Pick(ask, now)
 	if !ok {
 		return Target{}, false
 	}
-	pls.rates.Take(seat.Engine.ID, share, now)
-	tgt := pst.begin(seat.Engine, seat.FetchAddr, ticket, ask, now)
-	tgt.Placement = seat
+	pls.rates.Take(plc.Engine.ID, share, now)
+	tgt := pst.begin(plc.Engine, plc.FetchAddr, ticket, ask, now)
+	tgt.Placement = plc
 	return tgt, true
 }
 
-// Predict predicts the model engine that a request will go to, so that its results can be produced near
-// it; false if the pool has no engines. share is as for Pick.
+// Predict predicts the model engine that a request will go to, so that its stages can run in the
+// same data centre; false if the pool has no engines. share is as for Pick.
 func (pls *Pools) Predict(pool string, ask place.Ask, share float64) (place.Placement, bool) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
@@ -231,8 +234,8 @@
 	return pst.engines.Len() > 0
 }
 
-// HasUsable reports whether a plain pool has exactly this number of usable endpoints, for tests that
-// wait for it.
+// HasUsable reports whether a plain pool has exactly this number of usable endpoints, for tests
+// that wait for it.
 func (pls *Pools) HasUsable(pool string, count int) bool {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
@@ -261,7 +264,8 @@
 	}
 }
 
-// FirstEvent records the first event of a request at a model engine, and how long after sending it came.
+// FirstEvent records the first event of a request at a model engine, and how long after the request
+// was sent it came.
 func (pls *Pools) FirstEvent(pool, ticket string, took clock.Milli) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
@@ -280,16 +284,16 @@
 }
 
 // Finish records the end of a request at a plain endpoint.
-func (pls *Pools) Finish(pool string, id ident.Process, ver route.Outcome, took clock.Milli) {
+func (pls *Pools) Finish(pool string, id ident.Process, out route.Outcome, took clock.Milli) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
 	if pst := pls.byName[pool]; pst != nil && pst.plain != nil {
-		pst.plain.Finish(string(id), ver, took, pls.set.Clock.Now())
+		pst.plain.Finish(string(id), out, took, pls.set.Clock.Now())
 	}
 }
 
-// Watch has cancel called if a call's endpoint turns out to have restarted: the call is lost then.
-// The returned function must be called when the call has ended.
+// Watch arranges that cancel is called if the endpoint of a call turns out to have restarted: the
+// call is lost then. The returned function must be called when the call has ended.
 func (pls *Pools) Watch(pool string, id ident.Process, cancel func()) (stop func()) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
--- a/internal/pools/rates.go
+++ b/internal/pools/rates.go
@@ -65,7 +65,7 @@
 	if pst == nil || pst.plain == nil || slices.Contains(avoid, id) {
 		return Target{}, false
 	}
-	others := slices.DeleteFunc(slices.Clone(pst.ids), func(oth string) bool { return oth == id })
+	others := slices.DeleteFunc(slices.Clone(pst.ids), func(other string) bool { return other == id })
 	ep, ok := pst.plain.Pick(route.Ask{Avoid: others}, pls.set.Clock.Now())
 	return Target{ID: ident.Process(ep.ID), Addr: ep.Addr}, ok
 }
