--- a/internal/state/control.go
+++ b/internal/state/control.go
@@ -43,16 +43,17 @@
 	Log      zerolog.Logger
 	// Dialect compiles documents.
 	Dialect *proto.Dialect
-	// Link is nil for an instance that runs alone.
+	// Link is nil for a standalone instance.
 	Link *peer.Link
-	// TokenMaxViewAge is the maximum age of a view by which tokens are accepted; zero means no bound.
+	// TokenMaxViewAge is the maximum age of a view by which tokens are accepted; zero means no
+	// bound.
 	TokenMaxViewAge clock.Milli
 	// OnChange is called on the control loop with each new view whose plan, endpoints or endpoint
 	// rates differ from those of the view before.
 	OnChange func(vw *View)
 }
 
-// Control owns the control state of an instance. It is made by [New].
+// Control owns the control state of an instance. It is created by [New].
 type Control struct {
 	set  Setup
 	loop *loop.Loop
@@ -76,7 +77,8 @@
 	stepped       bool
 	// storedNames are the names of the instance entries last read from the store.
 	storedNames map[string]bool
-	// viewChanged is closed when a view with another plan or other endpoints is stored.
+	// viewChanged is closed, and replaced, when a view with another plan or other endpoints is
+	// stored.
 	viewChanged atomic.Pointer[chan struct{}]
 	// storeContacted fires once the store has been asked for documents, membersLoaded once the
 	// instance entries have been read or another instance has sent its whole state.
@@ -88,7 +90,7 @@
 	announced atomic.Bool
 }
 
-// New returns a control state whose loop is not running yet.
+// New returns a control state whose loop is not running yet; see [Control.Run].
 func New(set Setup) *Control {
 	ctl := &Control{set: set, loop: loop.New(set.Clock, func() { set.Meter.CountEvent(meter.EventDropped) }), storeContacted: newSignal(), membersLoaded: newSignal()}
 	now := set.Clock.Now()
@@ -111,9 +113,9 @@
 // View returns the current view.
 func (ctl *Control) View() *View { return ctl.view.Load() }
 
-// WaitServable returns the current view. Within [startupWait] of the start it waits for a view by which
-// requests can be served: a caller that is refused meanwhile has used up one of its few attempts,
-// and hundreds of simultaneous retries would add to the load that comes later.
+// WaitServable returns the current view. Within [startupWait] of the start it first waits for a view
+// by which requests can be served: a caller that is refused meanwhile has used up one of its few
+// attempts, and hundreds of callers that retry at the same time would add to the load by then.
 func (ctl *Control) WaitServable(ctx context.Context) *View {
 	vw := ctl.View()
 	left := startupWait - ctl.set.Clock.Since(ctl.startedAt)
@@ -221,7 +223,7 @@
 	ctl.set.Meter.SetGauge(meter.GaugeApplied, float64(vw.offset))
 }
 
-// EndpointLeaving records that an endpoint announced to a request that it is leaving, or was found to be gone.
+// EndpointLeaving records that an endpoint is leaving, as it announced in an answer, or is gone.
 func (ctl *Control) EndpointLeaving(id ident.Process, why string) {
 	ctl.loop.Offer(func(now clock.Milli) { ctl.endpts.markLeaving(id, why, now) })
 }
@@ -245,6 +247,7 @@
 	})
 }
 
+// pause waits for a span; it returns false if the context ended first.
 func pause(ctx context.Context, span time.Duration) bool {
 	tmr := time.NewTimer(span)
 	defer tmr.Stop()
--- a/internal/state/discover.go
+++ b/internal/state/discover.go
@@ -16,17 +16,17 @@
 const (
 	// maxHandshakes is the largest number of new instances that are probed one by one.
 	maxHandshakes = 16
-	// lookupMargin is the time within which a lookup is answered.
+	// lookupMargin is the time that the store takes to answer a lookup.
 	lookupMargin = 200 * time.Millisecond
 	// maxReminders bounds the members that are reminded of their entries at one lookup.
 	maxReminders = 16
 	// maxWithdrawn bounds the entries that one write removes.
 	maxWithdrawn = 500
-	// announceDelay is how long after our own lookup the instances that started at the same time
-	// have done theirs.
+	// announceDelay is the time after this instance's lookup by which the instances that started at
+	// the same time have done theirs.
 	announceDelay = 150 * time.Millisecond
-	// announceTimeout bounds the writing of our own entry: the store rejects writes that would wait
-	// for more than two seconds.
+	// announceTimeout bounds the writing of this instance's entry: the store rejects writes that
+	// would wait for more than two seconds.
 	announceTimeout = 3 * time.Second
 )
 
@@ -60,18 +60,18 @@
 	}
 }
 
-// isFirstStart waits until the store has been asked for documents, which are needed before the
-// instance entries and would share the bandwidth with them. It reports whether there are no
-// documents: then the system starts for the first time, and the other instances' entries are yet to
-// be written.
+// isFirstStart waits, for membersWait at most, until the store has answered the first read of the
+// documents or failed to: these are needed before the instance entries, and both reads would share
+// the bandwidth. It reports whether there are no documents. The system then starts for the first
+// time, and the entries of the other instances are yet to be written.
 func (ctl *Control) isFirstStart(ctx context.Context) bool {
 	ctl.storeContacted.wait(ctx, membersWait)
 	none, _ := loop.Get(ctx, ctl.loop, func(clock.Milli) bool { return ctl.docs.lastAnswer > 0 && ctl.docs.plan == nil })
 	return none
 }
 
-// MembersKnown returns a channel that is closed once this instance has learned of the others, from the store
-// or from one of them.
+// MembersKnown returns a channel that is closed once this instance has learned of the others, from
+// the store or from one of them.
 func (ctl *Control) MembersKnown() <-chan struct{} { return ctl.membersLoaded.ch }
 
 // lookUp reads the instance entries from the store. Our own entry is written again if it should be
@@ -163,9 +163,9 @@
 }
 
 // remindUnlisted notifies members whose entries were missing from the store at two lookups in a
-// row. The entry of an instance that was cut off and taken for dead has been withdrawn; while the
-// instance follows a reader it does not look itself, and starting instances do not find it in the
-// store.
+// row. The entry of an instance that was partitioned and declared dead has been withdrawn. While the
+// instance follows a reader it does not look up the entries itself, and starting instances do not
+// find it in the store.
 func (ctl *Control) remindUnlisted(list []proto.Instance) {
 	if !ctl.isMaintainer() {
 		ctl.unlisted = nil
--- a/internal/state/docs.go
+++ b/internal/state/docs.go
@@ -33,9 +33,9 @@
 	// maxStoreDelay is the largest delay of a slow store that does not count as silence.
 	maxStoreDelay = 500 * clock.Milli(1)
 	// minRetryPause is the pause after a failed read. It doubles with each further failure up to
-	// maxRetryPause. Every call costs money, failed ones too, and all instances call the store
-	// while it is down. The longest pause bounds how late an instance notices that the store is
-	// back, well within the two seconds in which a change must be in force.
+	// maxRetryPause, since every call costs money, failed ones too, and all instances call the store
+	// while it is down. maxRetryPause bounds how late an instance notices that the store is back:
+	// well within the two seconds in which a change must be in force.
 	minRetryPause = 250 * clock.Milli(1)
 	maxRetryPause = clock.Second
 	// readerRetryPause is the pause between two patient requests to readers: one that is refused
@@ -114,9 +114,9 @@
 	return retry.Jittered(min(minRetryPause<<min(fails, maxRetryDoublings), maxRetryPause) / 2).Duration()
 }
 
-// followAny follows readers and deputies in turn for a while, when none of them is up to date,
-// before this instance reads the store itself. They answer when the store answers them again. It
-// reports whether one of them did.
+// followAny requests an update from readers and deputies in turn, when none of them is up to date.
+// They answer once the store answers them again. It reports whether one of them did within
+// [rareReadWait]; otherwise this instance reads the store itself.
 func (dct *docsCtl) followAny(ctx context.Context) bool {
 	vw := dct.ctl.View()
 	all := slices.Concat(vw.sources.readers, vw.sources.deputies)
@@ -130,8 +130,8 @@
 	return false
 }
 
-// followOnce follows an instance for one answer. A patient request is held by the reader even if the
-// store has been silent. An instance that fails is not asked for a while.
+// followOnce requests one update from an instance. A patient request is held by the reader even if
+// the store has not answered it lately. An instance that fails is not asked for a while.
 func (dct *docsCtl) followOnce(ctx context.Context, who ident.Incarnation, patiently bool) error {
 	err := dct.follow(ctx, who, patiently)
 	if err == nil {
@@ -204,7 +204,7 @@
 	return down || !ok
 }
 
-// recordContact records and logs whether the store answered.
+// recordContact records whether the store answered, and logs when that changes.
 func (dct *docsCtl) recordContact(ctx context.Context, err error) {
 	defer dct.ctl.storeContacted.fire()
 	dct.ctl.loop.Do(ctx, func(now clock.Milli) {
--- a/internal/state/endpts.go
+++ b/internal/state/endpts.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// pollInterval is the time between two reads of the endpoint entries. A leaving endpoint must
-	// get no requests from some two seconds after it announced that.
+	// pollInterval is the time between two reads of the endpoint entries: two seconds after an
+	// endpoint announced that it is leaving, it must get no more requests.
 	pollInterval = 700 * time.Millisecond
 	// followGrace is how long after the last update of a reader the store is not read directly.
 	followGrace = 2500 * clock.Milli(1)
@@ -39,9 +39,9 @@
 	leaving map[ident.Process]clock.Milli
 	// runs has the latest run of each endpoint that was listed recently.
 	runs runs
-	// upSince is the instant since which the store has answered without a failure.
+	// upSince is the time since which the store has answered without a failure.
 	upSince clock.Milli
-	// otherUpSince is the same as last reported by another instance.
+	// otherUpSince is the same for another instance, as last reported by one.
 	otherUpSince clock.Milli
 	down         bool
 	loaded       bool
@@ -101,9 +101,9 @@
 	}
 }
 
-// isFollowing reports whether a reader has sent an update recently. Not reading the store meanwhile
-// is no outage: endpoints missing from a reader's list are gone, and must not come back with the
-// first list that this instance reads itself.
+// isFollowing reports whether a reader has sent an update recently. That this instance does not read
+// the store meanwhile does not count as an outage: endpoints missing from a reader's list are gone,
+// and must not come back with the first list that this instance reads itself.
 func (ect *endptsCtl) isFollowing(ctx context.Context) bool {
 	following, _ := loop.Get(ctx, ect.ctl.loop, ect.followingAt)
 	return following
@@ -159,8 +159,8 @@
 	return list
 }
 
-// isKnownPool reports whether the documents name a pool. An entry of any other pool is not one of
-// an endpoint, whatever its address.
+// isKnownPool reports whether the documents name a pool. Entries of other pools are not endpoints,
+// whatever their address.
 func (ect *endptsCtl) isKnownPool(pool string) bool {
 	pln := ect.ctl.docs.plan
 	if pln == nil {
--- a/internal/state/endpts_test.go
+++ b/internal/state/endpts_test.go
@@ -65,9 +65,9 @@
 	gom.Expect(names(ect.list)).To(gomega.Equal([]string{"a", "b"}))
 }
 
-// Guards against keeping an endpoint that left while only this instance was cut off. Once another
-// instance reports that the store was up throughout, the missing endpoint is gone; kept as lapsed,
-// it would get requests for three seconds more.
+// Guards against keeping an endpoint that left while only this instance was partitioned. Once
+// another instance reports that the store was up throughout, the missing endpoint is gone; kept as
+// lapsed, it would get requests for three seconds more.
 func TestOwnOutageKeepsNoEndpoints(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	ect := newEndpts()
--- a/internal/state/facts.go
+++ b/internal/state/facts.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// addLocal adds facts that this instance found out itself.
+// addLocal adds facts that originate at this instance.
 func (fcl *factsCtl) addLocal(fresh []gossip.Fact, now clock.Milli) {
 	if len(fresh) == 0 {
 		return
@@ -79,10 +79,10 @@
 	before := fcl.suspects
 	fcl.suspects = poison.Read(fcl.spread.All(gossip.EndedUnder, now), now)
 	fcl.stored.wanted = gossip.Digest(fcl.quarantineFacts(now))
-	for _, mrk := range fcl.suspects.NewlyQuarantined(before, now) {
-		evt := fcl.ctl.set.Log.Warn().Stringer("mark", mrk)
-		for _, end := range fcl.suspects.Crashes(mrk) {
-			evt = evt.Str(string(end.Endpoint), end.By).Int64(string(end.Endpoint)+"_age_ms", int64(now-end.At))
+	for _, fpr := range fcl.suspects.NewlyQuarantined(before, now) {
+		evt := fcl.ctl.set.Log.Warn().Stringer("mark", fpr)
+		for _, crash := range fcl.suspects.Crashes(fpr) {
+			evt = evt.Str(string(crash.Endpoint), crash.By).Int64(string(crash.Endpoint)+"_age_ms", int64(now-crash.At))
 		}
 		evt.Msg("request quarantined")
 	}
@@ -126,7 +126,7 @@
 	})
 }
 
-// recordCrash adds a fact on the crash of an endpoint that this instance found out itself.
+// recordCrash adds a fact on the crash of an endpoint, or withdraws one with [poison.Cleared].
 func (fcl *factsCtl) recordCrash(key, value string, now clock.Milli) {
 	if fct, ok := fcl.spread.Set(gossip.EndedUnder, key, value, now); ok {
 		fcl.addLocal([]gossip.Fact{fct}, now)
@@ -134,35 +134,35 @@
 }
 
 // RecordCrash records that an endpoint crashed while it processed a request with this fingerprint.
-func (ctl *Control) RecordCrash(mrk poison.Fingerprint, id ident.Process) {
+func (ctl *Control) RecordCrash(fpr poison.Fingerprint, id ident.Process) {
 	ctx, cancel := context.WithTimeout(context.Background(), factsTimeout)
 	defer cancel()
-	ctl.loop.Do(ctx, func(now clock.Milli) { ctl.facts.recordCrash(poison.Key(mrk, id), ctl.set.Self.Addr(), now) })
+	ctl.loop.Do(ctx, func(now clock.Milli) { ctl.facts.recordCrash(poison.Key(fpr, id), ctl.set.Self.Addr(), now) })
 }
 
 // RecordCompletion records that an endpoint has completed a request with a suspected fingerprint.
-func (ctl *Control) RecordCompletion(mrk poison.Fingerprint) {
+func (ctl *Control) RecordCompletion(fpr poison.Fingerprint) {
 	ctl.loop.Offer(func(now clock.Milli) {
-		ctl.facts.addLocal(poison.Clear(&ctl.facts.spread.Table, ctl.facts.suspects, mrk, now), now)
+		ctl.facts.addLocal(poison.Clear(&ctl.facts.spread.Table, ctl.facts.suspects, fpr, now), now)
 	})
 }
 
 // BeginTrial admits a request whose quarantine is over. It records a crash before the request is
 // sent to any endpoint, so that no other instance admits it at the same time. It reports false if
 // another one already has.
-func (ctl *Control) BeginTrial(mrk poison.Fingerprint, attempt ident.Process) bool {
+func (ctl *Control) BeginTrial(fpr poison.Fingerprint, attempt ident.Process) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), factsTimeout)
 	defer cancel()
 	began := false
 	done := ctl.loop.Do(ctx, func(now clock.Milli) {
-		if began = ctl.facts.suspects.Quarantined(mrk, now) == 0; began {
-			ctl.facts.recordCrash(poison.Key(mrk, attempt), ctl.set.Self.Addr(), now)
+		if began = ctl.facts.suspects.Quarantined(fpr, now) == 0; began {
+			ctl.facts.recordCrash(poison.Key(fpr, attempt), ctl.set.Self.Addr(), now)
 		}
 	})
 	return done && began
 }
 
 // CancelTrial withdraws the crash recorded by BeginTrial: nothing ran, or the endpoint goes on.
-func (ctl *Control) CancelTrial(mrk poison.Fingerprint, attempt ident.Process) {
-	ctl.loop.Offer(func(now clock.Milli) { ctl.facts.recordCrash(poison.Key(mrk, attempt), poison.Cleared, now) })
+func (ctl *Control) CancelTrial(fpr poison.Fingerprint, attempt ident.Process) {
+	ctl.loop.Offer(func(now clock.Milli) { ctl.facts.recordCrash(poison.Key(fpr, attempt), poison.Cleared, now) })
 }
--- a/internal/state/follow.go
+++ b/internal/state/follow.go
@@ -19,14 +19,14 @@
 const (
 	// updateHold is how long a reader waits for a change before it answers.
 	updateHold = 500 * time.Millisecond
-	// updateHoldShare is the largest part of the time for which tokens are accepted that a reader
-	// waits.
+	// updateHoldShare bounds that time by a part of the maximum age of a view whose tokens are
+	// accepted.
 	updateHoldShare = 0.1
 	// maxStoreSilence is how long a reader may have had no answer from the store before followers
 	// leave it: its path to the store may be broken while theirs is not. The store answers it every
-	// watchHold, and later by its delay. Together with updateHold and the time until a silent
-	// reader is left, a follower gets updates from another source some 1.2 s after its reader's
-	// last answer, well within the two seconds in which a change must be in force.
+	// watchHold, and later by its delay. Together with updateHold and the time until a follower
+	// leaves its reader, it gets updates from another source some 1.2 s after the reader's last
+	// answer from the store, well within the two seconds in which a change must be in force.
 	maxStoreSilence = 1000 * clock.Milli(1)
 	// readerBackoff is how long a reader that failed is not asked.
 	readerBackoff = 3 * clock.Second
@@ -45,8 +45,8 @@
 	// Age is how old the reader's view was when it answered, Held how long it had held the request.
 	Age  clock.Milli `cbor:"3,keyasint"`
 	Held clock.Milli `cbor:"4,keyasint"`
-	// StoreSilence is how long the store has not answered the reader, beyond the delay of a slow
-	// one.
+	// StoreSilence is how long the store has not answered the reader, beyond the usual delay of a
+	// slow store.
 	StoreSilence clock.Milli `cbor:"7,keyasint"`
 	// Listed is set if the reader's endpoints differ from those that the follower last received.
 	// Endpoints then holds all of them or, if Changed is set, only new and modified ones, and Gone
@@ -64,8 +64,9 @@
 type updateRequest struct {
 	Offset int64  `cbor:"1,keyasint"`
 	Digest uint64 `cbor:"2,keyasint"`
-	// Patient is set if the follower has no other source. While the store is silent such a request
-	// is held as long as any other, and so the follower learns within that time that it is back.
+	// Patient is set if the follower has no other source. Such a request is held as usual even
+	// while the store does not answer the reader, so that the follower learns within that time that
+	// the store is back.
 	Patient bool `cbor:"3,keyasint,omitempty"`
 }
 
@@ -128,7 +129,8 @@
 	began := ctl.set.Clock.Now()
 	hold := ctl.capped(clock.FromDuration(updateHold), updateHoldShare)
 	vw := ctl.waitFor(ctx, hold.Duration(), func(vw *View) bool {
-		// A reader without answers from the store says so at once: the follower goes elsewhere.
+		// A reader that gets no answers from the store reports that at once, so that the follower
+		// turns to another source.
 		silent := !req.Patient && vw.storeSilence(ctl.set.Clock.Now()) > maxStoreSilence
 		return silent || vw.offset > req.Offset || vw.hasUpdate(req)
 	})
--- a/internal/state/rates.go
+++ b/internal/state/rates.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// rateMargin is how much later than the rate was declared a request must be sent for an answer
-	// without a rate to clear it: answers overtake one another, and reported ages are some
-	// milliseconds too low.
+	// rateMargin is how much later than a rate was declared a request must be sent for its answer,
+	// if that has no rate, to clear the rate: answers overtake one another, and reported ages are
+	// some milliseconds too low.
 	rateMargin = 200 * clock.Milli(1)
-	// rateRetention is how long a rate stays in effect that is not renewed because the endpoint
-	// gets no requests. rateRenewal is the interval at which an unchanged rate is spread again:
-	// each time costs every instance some messages.
+	// rateRetention is how long a rate stays in effect without renewal, as when the endpoint gets no
+	// requests. rateRenewal is the interval at which an unchanged rate is spread again; each time
+	// costs every instance some messages.
 	rateRetention = clock.Hour
 	rateRenewal   = 10 * clock.Minute
 	// maxRates bounds the number of known rates, some 100 B each.
@@ -46,8 +46,8 @@
 	return rates
 }
 
-// Rate returns how many requests a second an endpoint accepts from all instances together; false if
-// it declares no rate.
+// Rate returns how many requests per second an endpoint accepts from all instances together; false
+// if it declares no rate.
 func (vw *View) Rate(id ident.Process) (perSecond float64, ok bool) {
 	rte, ok := vw.rates[id]
 	return rte.perSecond, ok
@@ -62,7 +62,8 @@
 	return all
 }
 
-// RecordReply records an endpoint's answer to a request that was sent at the given instant.
+// RecordReply records the rate that an endpoint declares in an answer, or that it declares none any
+// more; sent is when the request was sent.
 func (ctl *Control) RecordReply(addr string, rep proto.ReplyMeta, sent clock.Milli) {
 	vw := ctl.View()
 	if rep.Misdirected || !rep.HasRate && len(vw.rates) == 0 {
@@ -77,8 +78,8 @@
 	}
 }
 
-// recordRate spreads a new or changed rate of an endpoint to all instances, or clears it: by an
-// answer without a rate to a request that was sent after the rate was declared.
+// recordRate spreads a new or changed rate of an endpoint to all instances. An answer without a rate,
+// to a request that was sent after the rate was declared, clears it.
 func (ctl *Control) recordRate(vw *View, ep proto.Endpoint, rep proto.ReplyMeta, sent clock.Milli) {
 	known, ok := vw.rates[ep.ID]
 	value := noRate
--- a/internal/state/runs.go
+++ b/internal/state/runs.go
@@ -6,8 +6,8 @@
 	"amaranthvalve/pkg/ident"
 )
 
-// runRetention is how long the latest run of an endpoint that is no longer listed is remembered: a
-// list that another instance read before may arrive as late as a request is held there.
+// runRetention is how long the latest run of an endpoint that is no longer listed is remembered. A
+// list that another instance read before may arrive late, since a reader holds requests for updates.
 const runRetention = 30 * clock.Second
 
 // run is the latest run of an endpoint, and when it was last listed.
@@ -19,8 +19,8 @@
 // runs has the latest run of each endpoint by its name. The zero value is empty.
 //
 // A list may be older than what is known already: a reader's list in transit, or one from before
-// the store was read. It may name a run of an endpoint that has ended since. If that run came back,
-// all its state would too, and requests would be sent to a process that is gone and be refused.
+// the store was read. It may name a run of an endpoint that has ended since. If the list were taken
+// as it is, requests would be sent to a process that is gone, and be refused.
 type runs struct {
 	byName map[string]run
 }
--- a/internal/state/source.go
+++ b/internal/state/source.go
@@ -16,7 +16,7 @@
 // alone. An instance whose reader is unresponsive, or has no recent answer from the store, goes to
 // the next reader; when none is up to date, to the deputies, which then read the store themselves.
 // So while the store is down a dozen instances call it and not hundreds, and while some instances
-// are cut off from it the others still receive changes in time. Those that find no source ask
+// are partitioned from it the others still receive changes in time. Instances without a source ask
 // readers and deputies in turn meanwhile, and so learn when the store is back.
 
 const (
@@ -25,12 +25,12 @@
 	minReaders         = 2
 	instancesPerReader = 96
 	// deputiesPerReader is the number of deputies for each reader. If a third of the instances is
-	// cut off from the store, all readers and deputies of a small system are with a probability of
-	// 1 in 500.
+	// partitioned from the store, the probability that these include all readers and deputies of a
+	// small system is 1 in 500.
 	deputiesPerReader = 2
 	// rareReadPerInstance times the number of instances is how long an instance waits before it
-	// reads the store itself when no reader or deputy is up to date: all of them together then call
-	// it some twenty times a second.
+	// reads the store itself when no reader or deputy is up to date: all instances together then
+	// call the store some twenty times a second.
 	rareReadPerInstance = 25 * clock.Milli(1)
 	// maxUnanswered is how many readers or deputies in a row may fail to answer before the store is
 	// read directly. They may all have lost power, and trying each of them takes longer than a view
@@ -68,33 +68,33 @@
 	return sources{readers: ranked[:reads], deputies: ranked[reads:all]}
 }
 
-// choose returns where an instance gets its updates from, and the instance to follow; silent
-// reports whether an instance is not to be asked now.
-func (src sources) choose(self ident.Incarnation, silent func(who ident.Incarnation) bool) (ident.Incarnation, source) {
+// choose returns where an instance gets its updates from, and the instance to follow; skip reports
+// whether an instance is not to be asked now.
+func (src sources) choose(self ident.Incarnation, skip func(who ident.Incarnation) bool) (ident.Incarnation, source) {
 	if len(src.readers) < minReaders || slices.Contains(src.readers, self) {
 		return "", fromStore
 	}
-	if who, ok := pickSource(src.readers, self, silent); ok {
+	if who, ok := pickSource(src.readers, self, skip); ok {
 		return who, fromOther
 	}
 	if slices.Contains(src.deputies, self) {
 		return "", fromStore
 	}
-	if who, ok := pickSource(src.deputies, self, silent); ok {
+	if who, ok := pickSource(src.deputies, self, skip); ok {
 		return who, fromOther
 	}
 	return "", fromStoreRarely
 }
 
-// pickSource returns the first instance of a list that is not silent. Each instance starts at
-// another position.
-func pickSource(list []ident.Incarnation, self ident.Incarnation, silent func(who ident.Incarnation) bool) (ident.Incarnation, bool) {
+// pickSource returns the first instance of a list that is not skipped. Each instance starts at
+// another position, so that followers are spread over the list.
+func pickSource(list []ident.Incarnation, self ident.Incarnation, skip func(who ident.Incarnation) bool) (ident.Incarnation, bool) {
 	if len(list) == 0 {
 		return "", false
 	}
 	from := int(xxhash.Sum64String(string(self)) % uint64(len(list)))
 	for i := range list {
-		if who := list[(from+i)%len(list)]; !silent(who) {
+		if who := list[(from+i)%len(list)]; !skip(who) {
 			return who, true
 		}
 	}
--- a/internal/state/source_test.go
+++ b/internal/state/source_test.go
@@ -20,12 +20,12 @@
 	return all
 }
 
-// countSources counts the sources of all instances if some are silent.
-func countSources(all []ident.Incarnation, silent func(who ident.Incarnation) bool) map[source]int {
+// countSources counts the sources of all instances if some are skipped.
+func countSources(all []ident.Incarnation, skip func(who ident.Incarnation) bool) map[source]int {
 	src := sourcesOf(all)
 	count := map[source]int{}
 	for _, self := range all {
-		_, from := src.choose(self, silent)
+		_, from := src.choose(self, skip)
 		count[from]++
 	}
 	return count
@@ -42,7 +42,7 @@
 	gom.Expect(down).To(gomega.Equal(map[source]int{fromStore: 12, fromStoreRarely: 183}))
 }
 
-// Guards against followers without a source when all readers are cut off from the store: they
+// Guards against followers without a source when all readers are partitioned from the store: they
 // follow the deputies, and none reads the store rarely, so that all receive a change in time.
 func TestDeputiesReplaceReaders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -71,7 +71,8 @@
 	})
 }
 
-// Guards against readers with too many followers, and against fewer than two readers.
+// Guards against readers with more than instancesPerReader followers, and against fewer than two
+// readers.
 func TestFewReadersEach(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	for _, count := range []int{1, 2, 7, 66, 195, 390, 1000} {
--- a/internal/state/storedfacts.go
+++ b/internal/state/storedfacts.go
@@ -10,15 +10,15 @@
 	"amaranthvalve/pkg/poison"
 )
 
-// Instances have no storage of their own, and all may end at once. The requests that crashed
-// endpoints before would do so again under new instances without facts. So the facts behind
-// quarantines are written to the store beside the instance entries, which every starting instance
-// reads.
+// Instances have no storage of their own, and all may end at once. New instances without facts would
+// then admit the requests that crashed endpoints before. So the facts behind quarantines are written
+// to the store beside the instance entries, which every starting instance reads.
 
 const (
 	// storeInterval is the minimum time between two writes.
 	storeInterval = clock.Second
-	// maxStoredFingerprints and maxStoredCrashes bound what is written: fingerprints, and crashes of each.
+	// maxStoredFingerprints bounds the fingerprints that are written, maxStoredCrashes the crashes
+	// of each.
 	maxStoredFingerprints = 64
 	maxStoredCrashes      = 6
 )
@@ -39,8 +39,8 @@
 	writing bool
 }
 
-// loadStored merges the facts read from the store. All instances read them there, so they are not
-// spread further.
+// loadStored merges the facts read from the store. They are not spread further, since all instances
+// read them there.
 func (fcl *factsCtl) loadStored(text []byte, now clock.Milli) {
 	if fcl.stored.writing {
 		return
--- a/internal/state/view.go
+++ b/internal/state/view.go
@@ -22,7 +22,8 @@
 	endpointsKnown bool
 	members        []member.Member
 	coordinators   map[string][]ident.Incarnation
-	// answeredAt is when the store last answered, storeDelay how much longer than asked that took.
+	// answeredAt is when the store last answered, storeDelay how much longer than the requested hold
+	// that took.
 	answeredAt  clock.Milli
 	storeDelay  clock.Milli
 	sources     sources
@@ -60,8 +61,9 @@
 	return !ok || ep.Leaving
 }
 
-// Coordinators returns the instances in the order in which they coordinate a pool: batch its items or
-// place its prompts, and own the rates of its endpoints.
+// Coordinators returns the instances in the order in which they coordinate a pool: the first one
+// batches its items or places its prompts, and owns the rates of its endpoints; if it is
+// unresponsive, the next one does.
 func (vw *View) Coordinators(pool string) []ident.Incarnation { return vw.coordinators[pool] }
 
 // Suspects returns the fingerprints of requests under which endpoints have crashed.
