--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// probeWait bounds a probe, indirectWait one made on behalf of another instance.
-	probeWait    = 700 * time.Millisecond
-	indirectWait = 300 * time.Millisecond
+	// probeTimeout bounds a probe, indirectTimeout one made on behalf of another instance.
+	probeTimeout    = 700 * time.Millisecond
+	indirectTimeout = 300 * time.Millisecond
 )
 
-// Group is the membership of one instance. Except for [Group.ProbeIndirect], its methods must be called
-// on the control loop.
+// Group runs the membership protocol of one instance. Except for [Group.ProbeIndirect], its methods
+// must be called on the control loop.
 type Group struct {
 	Self ident.Incarnation
 	List *member.List
-	// Link is nil for an instance that runs alone.
+	// Link is nil for a standalone instance.
 	Link *peer.Link
 	// Offer queues an event on the control loop, which may drop it; Go starts a worker.
 	Offer func(event func(now clock.Milli))
 	Go    func(work func(ctx context.Context))
 	// Now returns the current time, for the sending of a probe.
 	Now func() clock.Milli
-	// Attach adds piggybacked data to an outgoing message. Heard is called with each message that
-	// arrived, and with the instant at which the request that it answers was sent, zero for a
+	// Attach adds piggybacked data to an outgoing message. OnMessage is called with each message
+	// that arrived, and with the time at which the request that it answers was sent, zero for a
 	// message that is not an answer.
 	Attach    func(msg *peer.Message)
 	OnMessage func(msg peer.Message, sent, now clock.Milli)
@@ -67,9 +67,9 @@
 	grp.Go(func(ctx context.Context) { grp.request(ctx, to, act.Target, msg) })
 }
 
-// Message returns a message with the gossip for its receiver.
+// Message returns a message with the member updates for its receiver and the piggybacked data.
 func (grp *Group) Message(kind peer.Kind, to ident.Incarnation) peer.Message {
-	msg := peer.Message{Kind: kind, From: grp.Self, To: to, News: grp.List.Updates(to)}
+	msg := peer.Message{Kind: kind, From: grp.Self, To: to, Updates: grp.List.Updates(to)}
 	if grp.Attach != nil {
 		grp.Attach(&msg)
 	}
@@ -78,7 +78,7 @@
 
 // request sends a probe, and returns the answer to the loop as an event.
 func (grp *Group) request(ctx context.Context, to, target ident.Incarnation, msg peer.Message) {
-	ctx, cancel := context.WithTimeout(ctx, probeWait)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	sent := grp.Now()
 	ans, err := grp.Link.Call(ctx, to.Addr(), msg)
@@ -99,15 +99,15 @@
 	})
 }
 
-// Probe probes an address whose incarnation is not known, or an instance that was taken for dead
-// and may have been cut off.
+// Probe probes an address whose incarnation is not known, or an instance that was declared dead and
+// may only have been partitioned.
 func (grp *Group) Probe(addr string, who ident.Incarnation) {
 	if grp.Link == nil {
 		return
 	}
 	msg := grp.Message(peer.Probe, who)
 	grp.Go(func(ctx context.Context) {
-		ctx, cancel := context.WithTimeout(ctx, probeWait)
+		ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 		defer cancel()
 		sent := grp.Now()
 		ans, err := grp.Link.Call(ctx, addr, msg)
@@ -123,9 +123,9 @@
 	})
 }
 
-// Receive applies the contents of a message.
+// Receive applies the member updates of a message, and passes the message to OnMessage.
 func (grp *Group) Receive(msg peer.Message, sent, now clock.Milli) {
-	grp.List.Merge(msg.News, now)
+	grp.List.Merge(msg.Updates, now)
 	if grp.OnMessage != nil {
 		grp.OnMessage(msg, sent, now)
 	}
@@ -134,12 +134,12 @@
 // ProbeIndirect probes a third instance on behalf of one that cannot reach it.
 func (grp *Group) ProbeIndirect(ctx context.Context, msg peer.Message) peer.Message {
 	ans := peer.Message{Kind: peer.Nack, From: grp.Self}
-	ctx, cancel := context.WithTimeout(ctx, indirectWait)
+	ctx, cancel := context.WithTimeout(ctx, indirectTimeout)
 	defer cancel()
 	got, err := grp.Link.Call(ctx, msg.Target.Addr(), peer.Message{Kind: peer.Probe, From: grp.Self, To: msg.Target})
 	if err == nil && got.From == msg.Target {
 		ans.Kind = peer.OK
-		ans.News = got.News
+		ans.Updates = got.Updates
 	}
 	return ans
 }
--- a/internal/peer/conns.go
+++ b/internal/peer/conns.go
@@ -78,9 +78,9 @@
 		return
 	}
 	oldest := addr
-	for oth, cur := range lnk.conns {
+	for other, cur := range lnk.conns {
 		if cur.used.Before(lnk.conns[oldest].used) {
-			oldest = oth
+			oldest = other
 		}
 	}
 	_ = lnk.conns[oldest].qcn.CloseWithError(0, "least lately used")
--- a/internal/peer/ephemeral.go
+++ b/internal/peer/ephemeral.go
@@ -9,9 +9,8 @@
 )
 
 // EphemeralTLS returns the TLS configuration of an instance without configured certificates, with
-// a key that is generated at start and lasts as long as the process. The link is encrypted but
-// peers are not authenticated, like anyone who can reach the store, which does not authenticate
-// either.
+// a key that is generated at start and lasts as long as the process. The link is encrypted, but
+// peers are not authenticated; the store does not authenticate those who can reach it either.
 func EphemeralTLS() (server, client *tls.Config, err error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/internal/peer/long.go
+++ b/internal/peer/long.go
@@ -7,8 +7,8 @@
 	"github.com/quic-go/quic-go"
 )
 
-// answerLong answers a long request. It ends when the caller leaves: work for a caller that is gone
-// takes slots from waiting requests.
+// answerLong answers a long request. It ends when the caller disconnects: work for a caller that is
+// gone takes slots from waiting requests.
 func (lnk *Link) answerLong(str *quic.Stream, msg Message) {
 	ctx, cancel := context.WithCancel(str.Context())
 	defer cancel()
@@ -35,8 +35,7 @@
 }
 
 // CallLong sends a long request. It fails when nothing was received for keepAliveTimeout, the time
-// of three keep-alives: the peer has died, is frozen or partitioned off, and another one must be
-// used.
+// of three keep-alives: the peer has died, is frozen or partitioned, and another one must be used.
 func (lnk *Link) CallLong(ctx context.Context, addr string, msg Message) (Message, error) {
 	if lnk.Partitioned != nil && lnk.Partitioned(addr) {
 		return Message{}, Error.New("%s is partitioned off", addr)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -69,7 +69,7 @@
 	// OK is the response to a successful request, Nack to a failed one.
 	OK
 	Nack
-	// OrderItems orders items of a stage; PiecesFreed releases results.
+	// OrderItems orders items of a stage; ReleaseResults releases results.
 	OrderItems
 	ReleaseResults
 	// PollUpdate is a long poll for the next change of what the receiver reads from the store; it
@@ -77,12 +77,12 @@
 	PollUpdate
 	// GetWait requests the estimated wait of items at the receiver.
 	GetWait
-	// PlacePrompt requests the model engine for a prompt; PlaceTold reports the progress of
+	// PlacePrompt requests the model engine for a prompt; ReportPlaced reports the progress of
 	// requests that the receiver placed.
 	PlacePrompt
 	ReportPlaced
-	// KeepAlive is the keep-alive of a long request: a caller that receives none knows that the
-	// receiver is gone.
+	// KeepAlive is sent to the caller of a long request while that is processed: a caller that gets
+	// none knows that the receiver is gone.
 	KeepAlive
 	// EntryMissing reports that the receiver's instance entry is missing from the store.
 	EntryMissing
@@ -98,9 +98,9 @@
 	From ident.Incarnation `cbor:"2,keyasint"`
 	// To is the incarnation that the sender expects at the address; From in the response is the
 	// actual one.
-	To     ident.Incarnation `cbor:"3,keyasint,omitempty"`
-	Target ident.Incarnation `cbor:"4,keyasint,omitempty"`
-	News   []member.Update   `cbor:"5,keyasint,omitempty"`
+	To      ident.Incarnation `cbor:"3,keyasint,omitempty"`
+	Target  ident.Incarnation `cbor:"4,keyasint,omitempty"`
+	Updates []member.Update   `cbor:"5,keyasint,omitempty"`
 	// Leaving lists endpoints that were recently reported as leaving, as "pool/id".
 	Leaving []string `cbor:"6,keyasint,omitempty"`
 	// Demand is the sender's request rate per second by workspace.
@@ -119,7 +119,7 @@
 	Digest uint64        `cbor:"14,keyasint,omitempty"`
 }
 
-// Link is an instance's transport to all other instances.
+// Link is an instance's transport to all other instances. It is opened by [Listen].
 type Link struct {
 	trn    *quic.Transport
 	lsn    *quic.Listener
@@ -127,11 +127,11 @@
 	handle func(ctx context.Context, msg Message) Message
 	// OnRefused is called for connections that failed authentication; it may be nil.
 	OnRefused func(err error)
-	// HandleLong handles long requests; their kinds are not passed to handle. While it runs the caller is
-	// sent Working at keepAliveInterval. It may be nil.
+	// HandleLong handles long requests, those of the kinds OrderItems and PollUpdate, in place of
+	// handle. While it runs the caller is sent KeepAlive at keepAliveInterval. It may be nil.
 	HandleLong func(ctx context.Context, msg Message) Message
-	// Partitioned reports whether an address is partitioned off, for tests; nil for none. It applies to
-	// outgoing and to incoming requests.
+	// Partitioned reports whether this instance is partitioned from an address, for tests; nil for
+	// none. It applies to outgoing and to incoming requests.
 	Partitioned func(addr string) bool
 
 	mtx   sync.Mutex
@@ -293,7 +293,7 @@
 	}
 }
 
-// reportRefused passes errors of failed authentication to Refused, but not those of closed or idle
+// reportRefused passes errors of failed authentication to OnRefused, but not those of closed or idle
 // connections.
 func (lnk *Link) reportRefused(err error) {
 	var trn *quic.TransportError
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -70,7 +70,7 @@
 func openLink(t *testing.T, ath *Authority, inc ident.Incarnation, set ...func(*Link)) *Link {
 	server, client := tlsOf(t, ath)
 	lnk, err := Listen("127.0.0.1:0", server, client, func(_ context.Context, msg Message) Message {
-		return Message{Kind: OK, From: inc, News: msg.News, Body: msg.Body}
+		return Message{Kind: OK, From: inc, Updates: msg.Updates, Body: msg.Body}
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -92,8 +92,8 @@
 	return ath
 }
 
-// TestUnknownAuthorityIsRefused checks that a process with a certificate of another authority gets no
-// answer from an instance, nor the instance from it, and that the refusal is reported so that it
+// TestUnknownAuthorityIsRefused checks that a process with a certificate of another authority gets
+// no answer from an instance, nor the instance from it, and that the refusal is reported so that it
 // can be counted.
 func TestUnknownAuthorityIsRefused(t *testing.T) {
 	gom := gomega.NewWithT(t)
@@ -202,8 +202,8 @@
 }
 
 // TestTimeoutKeepsConnection: a request times out at a slow peer while a long request waits on the
-// same connection, kept alive by Working messages; the long one must get its answer. The connection
-// used to be dropped with the first one, which failed the orders of many requests.
+// same connection, kept alive by KeepAlive messages; the long one must get its answer. If the
+// connection were dropped with the first request, the orders of many requests would fail.
 func TestTimeoutKeepsConnection(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	ath := newAuthority(t)
@@ -240,9 +240,9 @@
 	close(hold)
 }
 
-// TestStreamDeadlineCountsAsTimeout: a request times out, and the timer of the stream fires before that
-// of the caller's context, as happens under load. The context has no error yet; the connection must
-// be kept all the same, and must be dropped when the peer breaks it off.
+// TestStreamDeadlineCountsAsTimeout: a request times out, and the timer of the stream fires before
+// that of the caller's context, as happens under load. The context has no error yet; the connection
+// must be kept all the same, and must be dropped when the peer breaks it off.
 func TestStreamDeadlineCountsAsTimeout(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	ath := newAuthority(t)
@@ -274,9 +274,9 @@
 	ath := newAuthority(t)
 	one, two := openLink(t, ath, "10.20.1.11:7300#0123456789abcdef"), openLink(t, ath, "10.20.1.12:7300#0123456789abcdef")
 	rly := newUDPRelay(t, two.Addr())
-	news := make([]member.Update, member.MaxUpdates)
-	for i := range news {
-		news[i] = member.Update{
+	updates := make([]member.Update, member.MaxUpdates)
+	for i := range updates {
+		updates[i] = member.Update{
 			ID: ident.Incarnation(fmt.Sprintf("10.20.1.%d:7300#0123456789abcdef", i)), Zone: "dalby",
 			Caller: "10.20.1.11:7100", Seq: 3, Applied: 1_000_000, Beat: 100_000, Load: 20,
 		}
@@ -284,7 +284,7 @@
 	probe := func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
-		if _, err := one.Call(ctx, rly.sock.LocalAddr().String(), Message{Kind: Probe, From: "10.20.1.11:7300#0123456789abcdef", News: news}); err != nil {
+		if _, err := one.Call(ctx, rly.sock.LocalAddr().String(), Message{Kind: Probe, From: "10.20.1.11:7300#0123456789abcdef", Updates: updates}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -361,24 +361,24 @@
 			both()
 		}
 	}
-	news := map[string]string{}
+	newDirs := map[string]string{}
 	for _, dir := range dirs[:2] {
-		news[dir] = t.TempDir()
-		gom.Expect(fresh.WriteFiles(news[dir])).To(gomega.Succeed())
+		newDirs[dir] = t.TempDir()
+		gom.Expect(fresh.WriteFiles(newDirs[dir])).To(gomega.Succeed())
 	}
 	file := func(dir, name string) []byte {
 		text, err := os.ReadFile(dir + "/" + name)
 		gom.Expect(err).NotTo(gomega.HaveOccurred())
 		return text
 	}
-	step("ca.pem", func(dir string) []byte { return append(file(dir, "ca.pem"), file(news[dir], "ca.pem")...) })
+	step("ca.pem", func(dir string) []byte { return append(file(dir, "ca.pem"), file(newDirs[dir], "ca.pem")...) })
 	for _, dir := range dirs[:2] {
 		for _, name := range []string{"cert.pem", "key.pem"} {
-			gom.Expect(os.WriteFile(dir+"/"+name, file(news[dir], name), 0o600)).To(gomega.Succeed())
+			gom.Expect(os.WriteFile(dir+"/"+name, file(newDirs[dir], name), 0o600)).To(gomega.Succeed())
 		}
 		both()
 	}
 	gom.Expect(ask(2, 0)).To(gomega.HaveOccurred(), "the third does not know the new authority")
-	step("ca.pem", func(dir string) []byte { return file(news[dir], "ca.pem") })
+	step("ca.pem", func(dir string) []byte { return file(newDirs[dir], "ca.pem") })
 	gom.Expect(ask(0, 2)).To(gomega.HaveOccurred())
 }
--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -19,14 +19,14 @@
 	maxUnanswered = 3
 )
 
-// ProcessEnded reports whether the process at an address has ended: connections to it are refused. It
-// returns false if the address can't be reached, or if another process already listens there.
+// ProcessEnded reports whether the process at an address has ended: connections to it are refused.
+// It returns false if the address can't be reached, or if another process already listens there.
 func ProcessEnded(ctx context.Context, addr string) bool {
 	dlr := Dialer()
-	return isCrashed(ctx, func(ctx context.Context) (net.Conn, error) { return dlr.DialContext(ctx, "tcp", addr) })
+	return refusesConnections(ctx, func(ctx context.Context) (net.Conn, error) { return dlr.DialContext(ctx, "tcp", addr) })
 }
 
-func isCrashed(ctx context.Context, dial func(ctx context.Context) (net.Conn, error)) bool {
+func refusesConnections(ctx context.Context, dial func(ctx context.Context) (net.Conn, error)) bool {
 	for accepted, unanswered := 0, 0; ; {
 		con, err := dial(ctx)
 		switch {
--- a/internal/relay/crash_test.go
+++ b/internal/relay/crash_test.go
@@ -36,7 +36,7 @@
 		{[]error{timeout, timeout, timeout}, false},
 	} {
 		dials := 0
-		gom.Expect(isCrashed(t.Context(), func(context.Context) (net.Conn, error) {
+		gom.Expect(refusesConnections(t.Context(), func(context.Context) (net.Conn, error) {
 			dials++
 			return nil, tst.answers[dials-1]
 		})).To(gomega.Equal(tst.ended))
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -8,9 +8,9 @@
 // maxEventBytes bounds one event; the stream counts as cut at a longer one.
 const maxEventBytes = 1 << 20
 
-// EventReader splits a stream into whole server-sent events. An engine may fail in the middle of one; a
-// partial event has not reached the caller, so the stream can be resumed elsewhere after the last
-// whole one.
+// EventReader splits a stream into whole server-sent events. An engine may fail in the middle of
+// one; a partial event is not returned, so that it does not reach the caller and the stream can be
+// resumed elsewhere after the last whole one.
 type EventReader struct {
 	rdr io.Reader
 	buf []byte
@@ -59,9 +59,9 @@
 // eventEnd returns the length of the first whole event, zero if there is none.
 func eventEnd(buf []byte) int {
 	end := 0
-	for _, mark := range []string{"\n\n", "\r\n\r\n"} {
-		if at := bytes.Index(buf, []byte(mark)); at >= 0 && (end == 0 || at+len(mark) < end) {
-			end = at + len(mark)
+	for _, sep := range []string{"\n\n", "\r\n\r\n"} {
+		if at := bytes.Index(buf, []byte(sep)); at >= 0 && (end == 0 || at+len(sep) < end) {
+			end = at + len(sep)
 		}
 	}
 	return end
--- a/internal/relay/observe.go
+++ b/internal/relay/observe.go
@@ -8,7 +8,7 @@
 // Observer is called with each answer from an address and the time since its request was sent.
 type Observer func(addr string, res *http.Response, ago time.Duration)
 
-// observedTransport passes the answers of a transport to a [Observer] function.
+// observedTransport passes the answers of a transport to an [Observer].
 type observedTransport struct {
 	next    http.RoundTripper
 	observe Observer
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// PooledClient returns a client that reuses connections, for calls that may be repeated; idle connections
-// are closed after idle. obs is called with each answer; it may be nil.
+// PooledClient returns a client that reuses connections, for calls that may be repeated; connections
+// are closed when they have been unused for idle. obs is called with each answer; it may be nil.
 func PooledClient(idle time.Duration, obs Observer) *http.Client {
 	return &http.Client{
 		Transport: &observedTransport{observe: obs, next: &http.Transport{
@@ -141,7 +141,7 @@
 		Status: res.StatusCode, Header: res.Header, Reply: rel.dia.Reply(res), Body: res.Body, Length: res.ContentLength,
 		Framed: res.ContentLength >= 0 || len(res.TransferEncoding) > 0,
 	}
-	end := rel.judge(rqs.ID, rsp)
+	end := rel.classify(rqs.ID, rsp)
 	if end != ending.Answered && end != ending.Refused {
 		_ = res.Body.Close()
 		return nil, end
@@ -151,9 +151,10 @@
 	return rsp, end
 }
 
-// judge classifies an answer by the request that it names and by what it proves. An answer without
-// a request ID is foreign: only the ID distinguishes it from an engine's extra answers.
-func (rel *Relay) judge(id string, rsp *Response) ending.Ending {
+// classify returns the ending of an attempt, by the request that its answer names and by what the
+// answer proves. An answer without a request ID is foreign: only the ID distinguishes it from an
+// engine's extra answers.
+func (rel *Relay) classify(id string, rsp *Response) ending.Ending {
 	switch {
 	case rsp.Reply.NotRun || rsp.Reply.Misdirected:
 		return ending.Refused
