--- a/internal/batch/storage.go
+++ b/internal/batch/storage.go
@@ -13,8 +13,8 @@
 )
 
 // A new coordinator of a pool doesn't know the results that its endpoints hold for the previous
-// one, which has stopped or lost power. They take storage until they are released or expire. If this
-// were ignored, calls would come back with half of their items refused, and requests would be
+// one, which has stopped or lost power. They take storage until they are released or expire. If
+// this were ignored, calls would come back with half of their items refused, and requests would be
 // abandoned half way. The coordinator therefore polls the endpoints for their free result storage
 // until all that they hold is known.
 
--- a/internal/coord/coord.go
+++ b/internal/coord/coord.go
@@ -2,8 +2,8 @@
 // places its prompts, and sends orders and placement requests to it.
 //
 // The ranking of the coordinators follows from the membership. If one sends no keep-alive, the
-// order goes to the next one, and after three failures this instance batches locally: a request must
-// not fail, nor run out of time, because another instance died.
+// order goes to the next one, and after three failures this instance batches locally: a request
+// must not fail, nor run out of time, because another instance died.
 package coord
 
 import (
--- a/internal/coord/coord_test.go
+++ b/internal/coord/coord_test.go
@@ -43,8 +43,8 @@
 
 // TestOrdersWaitForMembership: all instances have restarted, and requests arrive before the
 // instances know each other. An order waits until this instance has had the time to learn the
-// coordinator. Otherwise each instance would send its items to the endpoints in small batches of its
-// own and fill their queues.
+// coordinator. Otherwise each instance would send its items to the endpoints in small batches of
+// its own and fill their queues.
 func TestOrdersWaitForMembership(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	crd, timers, calls := starting()
--- a/internal/coord/waits.go
+++ b/internal/coord/waits.go
@@ -18,8 +18,8 @@
 // sends a few requests per second, that estimate is half a second old at the next request, and by
 // then a whole queue may have been served or built up. Requests admitted by it were late when the
 // queue had grown meanwhile, and took slots and result storage from requests that were in time. The
-// coordinators are therefore queried before a request is admitted. They also know whether the request
-// came before: a refused caller may retry at any instance.
+// coordinators are therefore queried before a request is admitted. They also know whether the
+// request came before: a refused caller may retry at any instance.
 
 const (
 	// waitQueryTimeout bounds a wait query: a few round trips between data centres. Earlier
@@ -44,8 +44,8 @@
 	crd.waitEstimates[pool] = waitEstimate{span: span, at: crd.set.Clock.Now()}
 }
 
-// EstimateWait estimates how long an item of a pool would wait: the coordinator's last estimate, less
-// the time since.
+// EstimateWait estimates how long an item of a pool would wait: the coordinator's last estimate,
+// less the time since.
 func (crd *Coordinator) EstimateWait(pool string) clock.Milli {
 	crd.mtx.Lock()
 	defer crd.mtx.Unlock()
@@ -70,9 +70,10 @@
 }
 
 // QueryWaits queries the coordinators of pools for their wait estimates, which
-// [Coordinator.EstimateWait] then uses. It returns the time since the first arrival of the request at
-// any instance, which the coordinator of the first pool records. The last estimate of a coordinator
-// that doesn't answer stays in use; orders and probes detect whether that coordinator is gone.
+// [Coordinator.EstimateWait] then uses. It returns the time since the first arrival of the request
+// at any instance, which the coordinator of the first pool records. The last estimate of a
+// coordinator that doesn't answer stays in use; orders and probes detect whether that coordinator
+// is gone.
 func (crd *Coordinator) QueryWaits(ctx context.Context, vw *state.View, fp uint64, pools []string) (elapsed clock.Milli) {
 	queries := map[ident.Incarnation]waitQuery{}
 	for i, pool := range pools {
--- a/internal/front/crash.go
+++ b/internal/front/crash.go
@@ -60,8 +60,8 @@
 }
 
 // quarantine refuses requests under which several endpoints have crashed: the next endpoint would
-// crash too, and the other requests there would fail with it. When a quarantine is over, one attempt
-// is admitted for a trial.
+// crash too, and the other requests there would fail with it. When a quarantine is over, one
+// attempt is admitted for a trial.
 func (fr *Front) quarantine(ctx context.Context, cl *call, nxt chain.Next[*call]) outcm.Result {
 	sus := fr.set.Control.View().Suspects()
 	switch {
--- a/internal/front/final.go
+++ b/internal/front/final.go
@@ -91,7 +91,7 @@
 	fallback *bufferedResponse
 }
 
-// bufferedAnswer is an endpoint's response that was read completely.
+// bufferedResponse is an endpoint's response that was read completely.
 type bufferedResponse struct {
 	rsp  *relay.Response
 	body []byte
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -85,8 +85,8 @@
 	mtx     sync.Mutex
 	results []stageResults
 	out     *output
-	// fprint is the request's fingerprint, computed on first use: hashing a long body takes a
-	// while, and most requests need none.
+	// fprintOnce guards fprint, the request's fingerprint. It is computed on first use: hashing a
+	// long body takes a while, and most requests need none.
 	fprintOnce sync.Once
 	fprint     poison.Fingerprint
 	// trial is set when the request is admitted after its quarantine; it gets a single attempt.
--- a/internal/front/stages.go
+++ b/internal/front/stages.go
@@ -321,8 +321,8 @@
 }
 
 // contended reports whether the items of any of the route's stages have a long wait. Results take
-// storage at their endpoints until the next stage is done; when storage is short, a stage that waits
-// for an endpoint in its own data centre keeps the stages before it waiting too.
+// storage at their endpoints until the next stage is done; when storage is short, a stage that
+// waits for an endpoint in its own data centre keeps the stages before it waiting too.
 func (fr *Front) contended(cl *call) bool {
 	for i, stg := range cl.route.Stages() {
 		spc := cl.batchSpec(i)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -106,8 +106,8 @@
 	// Demand is the sender's request rate per second by workspace.
 	Demand map[string]float64 `cbor:"7,keyasint,omitempty"`
 	Body   []byte             `cbor:"8,keyasint,omitempty"`
-	// Applied is the offset of the sender's documents, and Age the time since they were known to be
-	// the newest; Known is set if it has any.
+	// Known is set if the sender has documents; Applied is their offset, and Age the time since
+	// they were known to be the newest.
 	Known   bool        `cbor:"9,keyasint,omitempty"`
 	Applied int64       `cbor:"10,keyasint,omitempty"`
 	Age     clock.Milli `cbor:"11,keyasint,omitempty"`
@@ -293,8 +293,8 @@
 	}
 }
 
-// reportRefused passes errors of failed authentication to OnRefused, but not those of closed or idle
-// connections.
+// reportRefused passes errors of failed authentication to OnRefused, but not those of closed or
+// idle connections.
 func (lnk *Link) reportRefused(err error) {
 	var trn *quic.TransportError
 	if lnk.OnRefused != nil && errors.As(err, &trn) && trn.ErrorCode.IsCryptoError() {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -52,8 +52,9 @@
 	}
 }
 
-// PooledClient returns a client that reuses connections, for calls that may be repeated; connections
-// are closed when they have been unused for idle. obs is called with each answer; it may be nil.
+// PooledClient returns a client that reuses connections, for calls that may be repeated;
+// connections are closed when they have been unused for idle. obs is called with each answer; it
+// may be nil.
 func PooledClient(idle time.Duration, obs Observer) *http.Client {
 	return &http.Client{
 		Transport: &observedTransport{observe: obs, next: &http.Transport{
--- a/internal/state/control.go
+++ b/internal/state/control.go
@@ -113,9 +113,9 @@
 // View returns the current view.
 func (ctl *Control) View() *View { return ctl.view.Load() }
 
-// WaitServable returns the current view. Within [startupWait] of the start it first waits for a view
-// by which requests can be served: a caller that is refused meanwhile has used up one of its few
-// attempts, and hundreds of callers that retry at the same time would add to the load by then.
+// WaitServable returns the current view. Within [startupWait] of the start it first waits for a
+// view by which requests can be served: a caller that is refused meanwhile has used up one of its
+// few attempts, and hundreds of callers that retry at the same time would add to the load by then.
 func (ctl *Control) WaitServable(ctx context.Context) *View {
 	vw := ctl.View()
 	left := startupWait - ctl.set.Clock.Since(ctl.startedAt)
--- a/internal/state/discover.go
+++ b/internal/state/discover.go
@@ -163,9 +163,9 @@
 }
 
 // remindUnlisted notifies members whose entries were missing from the store at two lookups in a
-// row. The entry of an instance that was partitioned and declared dead has been withdrawn. While the
-// instance follows a reader it does not look up the entries itself, and starting instances do not
-// find it in the store.
+// row. The entry of an instance that was partitioned and declared dead has been withdrawn. While
+// the instance follows a reader it does not look up the entries itself, and starting instances do
+// not find it in the store.
 func (ctl *Control) remindUnlisted(list []proto.Instance) {
 	if !ctl.isMaintainer() {
 		ctl.unlisted = nil
--- a/internal/state/endpts.go
+++ b/internal/state/endpts.go
@@ -101,9 +101,9 @@
 	}
 }
 
-// isFollowing reports whether a reader has sent an update recently. That this instance does not read
-// the store meanwhile does not count as an outage: endpoints missing from a reader's list are gone,
-// and must not come back with the first list that this instance reads itself.
+// isFollowing reports whether a reader has sent an update recently. That this instance does not
+// read the store meanwhile does not count as an outage: endpoints missing from a reader's list are
+// gone, and must not come back with the first list that this instance reads itself.
 func (ect *endptsCtl) isFollowing(ctx context.Context) bool {
 	following, _ := loop.Get(ctx, ect.ctl.loop, ect.followingAt)
 	return following
--- a/internal/state/rates.go
+++ b/internal/state/rates.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// recordRate spreads a new or changed rate of an endpoint to all instances. An answer without a rate,
-// to a request that was sent after the rate was declared, clears it.
+// recordRate spreads a new or changed rate of an endpoint to all instances. An answer without a
+// rate, to a request that was sent after the rate was declared, clears it.
 func (ctl *Control) recordRate(vw *View, ep proto.Endpoint, rep proto.ReplyMeta, sent clock.Milli) {
 	known, ok := vw.rates[ep.ID]
 	value := noRate
--- a/internal/state/runs.go
+++ b/internal/state/runs.go
@@ -7,7 +7,8 @@
 )
 
 // runRetention is how long the latest run of an endpoint that is no longer listed is remembered. A
-// list that another instance read before may arrive late, since a reader holds requests for updates.
+// list that another instance read before may arrive late, since a reader holds requests for
+// updates.
 const runRetention = 30 * clock.Second
 
 // run is the latest run of an endpoint, and when it was last listed.
--- a/internal/state/storedfacts.go
+++ b/internal/state/storedfacts.go
@@ -10,9 +10,9 @@
 	"amaranthvalve/pkg/poison"
 )
 
-// Instances have no storage of their own, and all may end at once. New instances without facts would
-// then admit the requests that crashed endpoints before. So the facts behind quarantines are written
-// to the store beside the instance entries, which every starting instance reads.
+// Instances have no storage of their own, and all may end at once. New instances without facts
+// would then admit the requests that crashed endpoints before. So the facts behind quarantines are
+// written to the store beside the instance entries, which every starting instance reads.
 
 const (
 	// storeInterval is the minimum time between two writes.
--- a/internal/trial/plan.go
+++ b/internal/trial/plan.go
@@ -64,7 +64,8 @@
 	baseMs  float64
 }
 
-// workspacePlan is a workspace with its share of the requests; its weight is its share of the queue.
+// workspacePlan is a workspace with its share of the requests; its weight is its share of the
+// queue.
 type workspacePlan struct {
 	name   string
 	share  float64
--- a/internal/trial/request.go
+++ b/internal/trial/request.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// attemptEnded handles the end of the current attempt: it goes on with the next stage, or retries if
-// the attempt failed.
+// attemptEnded handles the end of the current attempt: it goes on with the next stage, or retries
+// if the attempt failed.
 func (req *request) attemptEnded(wrk *work, ok bool, engine clock.Milli) {
 	took := req.now() - req.sentAt
 	req.run().res.addCost(req.pool(), engine)
--- a/internal/trial/run.go
+++ b/internal/trial/run.go
@@ -140,8 +140,8 @@
 	}
 }
 
-// fullLoadRate returns the requests per second at a load of 1: the throughput of the full servers of
-// the bottleneck pool, divided by the share of requests that use this pool.
+// fullLoadRate returns the requests per second at a load of 1: the throughput of the full servers
+// of the bottleneck pool, divided by the share of requests that use this pool.
 func (rnn *run) fullLoadRate() float64 {
 	part := 0.0
 	for _, svc := range rnn.dpl.services {
