--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -78,11 +78,11 @@
 	minMaxLogAge          = 2 * clock.Second
 	maxMaxLogAge          = clock.Minute
 	minResumeKeyBytes     = 16
-	// An instance without updates accepts revoked tokens for at most this long.
-	// The owners of the callers were promised 5 s.
+	// defaultTokenMaxViewAge is how long an instance without updates may accept
+	// revoked tokens. The owners of the callers were promised 5 s.
 	defaultTokenMaxViewAge = 5 * clock.Second
-	// All instances together may retry a tenth of a pool's requests plus 50 in each
-	// window of 10 s.
+	// defaultRetryShare, defaultRetryReserve and defaultRetryWindow: all instances
+	// together may retry a tenth of a pool's requests plus 50 in each window of 10 s.
 	defaultRetryShare   = 0.1
 	defaultRetryReserve = 50.0
 	defaultRetryWindow  = 10 * clock.Second
@@ -203,8 +203,8 @@
 	return set, fts, nil
 }
 
-// Parse decodes and validates settings. They are nil if and only if the list
-// contains an error.
+// Parse decodes and validates settings. They are nil if and only if the list of
+// faults contains an error.
 func Parse(text []byte) (*Settings, *tomlx.Faults) {
 	set := &Settings{raw: raw{
 		KeepMs: int64(defaultEntryTTL), FreshMs: int64(defaultMaxLogAge), LogRetentionMs: int64(defaultRetention),
--- a/internal/feed/tail.go
+++ b/internal/feed/tail.go
@@ -20,8 +20,8 @@
 // Consumer is a state machine that consumes a stream.
 type Consumer struct {
 	Stream string
-	// Do runs an event on the control loop that owns the state machine and waits for
-	// its end. It returns false if the context ends before.
+	// Do runs an event on the control loop that owns the state machine and waits until
+	// it has run. It returns false if the context ends before.
 	Do func(ctx context.Context, event func(now clock.Milli)) bool
 	// Next returns the offset of the next record to read.
 	Next func() int64
@@ -89,7 +89,7 @@
 func deliver(set Setup, csm Consumer, from int64, bat oplog.Batch, sentAt, now clock.Milli) {
 	if bat.End < from {
 		// The answer comes from a lagging replica of the log. Applied records stay
-		// applied, and the answer does not show that they are all.
+		// applied, and the answer does not show that there are no newer ones.
 		set.Meter.CountEvent(meter.EventLogStale)
 		return
 	}
--- a/internal/proto/proto.go
+++ b/internal/proto/proto.go
@@ -1,9 +1,9 @@
 // Package proto defines the interface between the product and the protocols of callers, endpoints
 // and the store.
 //
-// A [Dialect] is a table of functions that one package fills in; header names, paths and formats stay
-// there. The types here use the product's own terms, so that the code that makes decisions doesn't
-// depend on how anything is encoded on the wire.
+// A [Dialect] is a table of functions that one package fills in; header names, paths and formats are
+// known only there. The types here use the product's own terms, so that the code that makes decisions
+// doesn't depend on how anything is encoded on the wire.
 package proto
 
 import (
@@ -31,7 +31,7 @@
 	Token string
 	// Prompt describes the prompt for a model engine; nil for plain calls.
 	Prompt *place.Prompt
-	// Items is the number of items of each stage, and PieceKey the input of the first stages.
+	// Items is the number of items of each stage, and ItemKey the input of the first stages.
 	Items   []int
 	ItemKey string
 	// LastEvent is the ID of the last stream event that the caller has received.
@@ -102,7 +102,7 @@
 
 // Item is one item of a stage that an endpoint is to process.
 type Item struct {
-	// Request identifies the caller's request, Stage and Piece the item.
+	// Request identifies the caller's request, Stage and Index the item.
 	Request string
 	Stage   int
 	Index   int
@@ -156,8 +156,8 @@
 	DropHeaders []string
 	// SetHeaders sets the system's own headers on a request to an endpoint.
 	SetHeaders func(hdr http.Header, snd SendMeta)
-	// Reply reads the metadata of an endpoint's response. Strip removes the headers that are
-	// meant for the system only.
+	// Reply reads the metadata of an endpoint's response. StripHeaders removes the headers that
+	// are meant for the system only.
 	Reply        func(res *http.Response) ReplyMeta
 	StripHeaders func(hdr http.Header)
 	// EventName returns the ID of a stream event, if it has one.
@@ -167,11 +167,11 @@
 	ReadyPath   string
 	EntriesPath string
 	// Entries returns the response body with the addresses that a caller may use, and how long it
-	// may keep them.
-	Entries func(addrs []string, keep clock.Milli) any
+	// may cache them.
+	Entries func(addrs []string, ttl clock.Milli) any
 
-	// RunBatch processes items as one batch. If the endpoint refuses the whole batch, Run returns
-	// ErrFull.
+	// RunBatch processes items as one batch. If the endpoint refuses the whole batch, RunBatch
+	// returns [ErrFull].
 	RunBatch func(ctx context.Context, cli *http.Client, ep Endpoint, items []Item) ([]ItemResult, ReplyMeta, error)
 	// Free releases results at their endpoint.
 	Free func(ctx context.Context, cli *http.Client, addr string, handles []string) error
@@ -193,18 +193,19 @@
 
 // Store is the client of the store.
 type Store struct {
-	// Newest returns the document in force. Watch waits up to hold for records from an offset on,
-	// and reports whether there are any.
+	// Newest returns the document in force. Watch waits for records from an offset on, for at most
+	// the given time, and reports whether there are any.
 	Newest func(ctx context.Context) (Document, error)
-	Watch  func(ctx context.Context, from int64, hold clock.Milli) (bool, error)
+	Watch  func(ctx context.Context, from int64, wait clock.Milli) (bool, error)
 	// Endpoints lists the endpoints' entries, and an error for each entry that can't be used.
 	// Instances lists the instances' entries, oldest first, together with the record that the
-	// instances keep beside them, nil for none.
+	// instances share, nil for none.
 	Endpoints func(ctx context.Context) ([]Endpoint, []error, error)
-	Instances func(ctx context.Context) (list []Instance, kept []byte, err error)
+	Instances func(ctx context.Context) (list []Instance, shared []byte, err error)
 	// Announce writes the instance's own entry, Withdraw removes entries by name.
 	Announce func(ctx context.Context, inst Instance) error
 	Withdraw func(ctx context.Context, names ...string) error
-	// PutShared replaces the record that the instances keep beside their entries; nil removes it.
-	PutShared func(ctx context.Context, kept []byte) error
+	// PutShared replaces the record that the instances share, stored beside their entries; nil
+	// removes it.
+	PutShared func(ctx context.Context, shared []byte) error
 }
--- a/internal/serve/draining.go
+++ b/internal/serve/draining.go
@@ -18,10 +18,10 @@
 	liveConns atomic.Int64
 }
 
-// NewDrainServer returns a server like [NewPlain] on a listener, with at most most connections at a time.
-// The connections in the kernel's accept queue at shutdown are accepted beyond that limit.
-func NewDrainServer(handler http.Handler, lsn net.Listener, most int) *DrainServer {
-	drn := &DrainServer{lsn: &queueListener{Listener: netutil.LimitListener(lsn, most), raw: lsn}, srv: NewPlain(handler)}
+// NewDrainServer returns a server like [NewPlain] on a listener, with at most maxConns connections at
+// a time. The connections in the kernel's accept queue at shutdown are accepted beyond that limit.
+func NewDrainServer(handler http.Handler, lsn net.Listener, maxConns int) *DrainServer {
+	drn := &DrainServer{lsn: &queueListener{Listener: netutil.LimitListener(lsn, maxConns), raw: lsn}, srv: NewPlain(handler)}
 	drn.srv.ConnState = drn.countConn
 	return drn
 }
--- a/internal/serve/head.go
+++ b/internal/serve/head.go
@@ -13,8 +13,9 @@
 // headConn is a caller's connection that inspects the heads of its requests.
 //
 // A request with both a length and chunks can be read in two ways (RFC 9112, section 6.1), which
-// allows request smuggling. net/http goes by the chunks, silently drops the length and reads on: what
-// a proxy before us took for the rest of the body would be served here as a request that nobody sent.
+// allows request smuggling. net/http goes by the chunks, drops the length without an error and reads
+// on: bytes that a proxy in front took for part of the body would be served here as a request that
+// nobody sent.
 // net/http doesn't report this, so the bytes are inspected as they arrive. Heads arrive on their own:
 // a caller that waits for its responses sends nothing between a request and the end of its response,
 // and net/http meanwhile reads a single byte to detect a disconnect. The heads of a caller that
@@ -92,9 +93,9 @@
 }
 
 // inspectHeads wraps a handler so that the heads of its requests can be inspected one at a time. It
-// discards what the handler left of a body, as net/http would do afterwards: the rest is not part of
-// the next head. Nothing is read from a caller that waits for "100 Continue", since it may never send
-// its body; net/http closes its connection.
+// discards what the handler left unread of a body, as net/http would do afterwards, so that it does
+// not become part of the next head. Nothing is read from a caller that waits for "100 Continue", since
+// it may never send its body; net/http closes its connection.
 func inspectHeads(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(wrt http.ResponseWriter, req *http.Request) {
 		hcn, ok := req.Context().Value(headConnKey{}).(*headConn)
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -23,7 +23,7 @@
 	// maxRawHeader is how much net/http reads of a header before it refuses with a response of
 	// its own; the documents' limit is far lower and is checked later.
 	maxRawHeader = 256 << 10
-	// Limits until the first documents are known.
+	// defaultHeaderTimeout and defaultIdleTimeout apply until the first documents are known.
 	defaultHeaderTimeout = 5 * clock.Second
 	defaultIdleTimeout   = 30 * clock.Second
 	// maxPendingConns is how many accepted connections may wait for their server.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -25,8 +25,8 @@
 	HeaderReason    = "Amv-Reason"
 	HeaderLoad      = "Amv-Load"
 	HeaderLeaving   = "Amv-Leaving"
-	// HeaderExecuted with the value RanNo states that the endpoint refused the request
-	// before it executed any part of it.
+	// HeaderExecuted with the value ExecutedNo states that the endpoint refused the
+	// request before it executed any part of it.
 	HeaderExecuted = "Amv-Ran"
 	ExecutedNo     = "no"
 )
--- a/pkg/admit/admit_test.go
+++ b/pkg/admit/admit_test.go
@@ -26,8 +26,8 @@
 	var que Queue
 	var order []string
 	join := func(wsp string) {
-		_, ver := que.Join(Ask{Workspace: wsp, Share: 1, Deadline: clock.Hour}, 1000, func(Outcome, clock.Milli) { order = append(order, wsp) })
-		gom.Expect(ver).To(gomega.Equal(Queued))
+		_, res := que.Join(Ask{Workspace: wsp, Share: 1, Deadline: clock.Hour}, 1000, func(Outcome, clock.Milli) { order = append(order, wsp) })
+		gom.Expect(res).To(gomega.Equal(Queued))
 	}
 	for range 100 {
 		join("large")
@@ -80,13 +80,13 @@
 					Workspace: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "who"), Share: 1, Priority: rapid.IntRange(0, 2).Draw(t, "priority"),
 					Estimate: clock.Milli(rapid.IntRange(0, 40).Draw(t, "need")), Deadline: now + clock.Milli(rapid.IntRange(0, 200).Draw(t, "deadline")),
 				}
-				_, ver := que.Join(ask, now, func(out Outcome, at clock.Milli) {
+				_, res := que.Join(ask, now, func(out Outcome, at clock.Milli) {
 					outcomes[i]++
 					if out == Served && at+ask.Estimate > ask.Deadline {
 						t.Fatalf("served at %d ms with an estimate of %d ms, deadline %d ms", at, ask.Estimate, ask.Deadline)
 					}
 				})
-				if ver == Queued {
+				if res == Queued {
 					joined++
 				}
 			} else {
@@ -113,14 +113,14 @@
 	var que Queue
 	displaced, served := 0, ""
 	join := func(priority int, name string) JoinResult {
-		_, ver := que.Join(Ask{Workspace: "w", Share: 1, Priority: priority, Deadline: clock.Hour}, 1, func(out Outcome, _ clock.Milli) {
+		_, res := que.Join(Ask{Workspace: "w", Share: 1, Priority: priority, Deadline: clock.Hour}, 1, func(out Outcome, _ clock.Milli) {
 			if out == Displaced {
 				displaced++
 			} else if served == "" {
 				served = name
 			}
 		})
-		return ver
+		return res
 	}
 	for range maxQueued {
 		gom.Expect(join(3, "draft")).To(gomega.Equal(Queued))
@@ -138,12 +138,12 @@
 // whether the stage has recovered.
 func TestStaleEstimateExpires(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	var ned Estimator
+	var est Estimator
 	for range 50 {
-		ned.Sample(20*clock.Second, 1000)
+		est.Sample(20*clock.Second, 1000)
 	}
-	gom.Expect(ned.Upper(100, 1001)).To(gomega.BeNumerically(">", 12*clock.Second))
-	gom.Expect(ned.Upper(100, 1000+6*clock.Second)).To(gomega.Equal(clock.Milli(100)))
+	gom.Expect(est.Upper(100, 1001)).To(gomega.BeNumerically(">", 12*clock.Second))
+	gom.Expect(est.Upper(100, 1000+6*clock.Second)).To(gomega.Equal(clock.Milli(100)))
 }
 
 // TestRetriesStayWithinBudget: every call fails while requests are queued. Retries
@@ -151,9 +151,9 @@
 // budget applies only while the queue is empty.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	rt := route.New("dc1", rand.New(rand.NewPCG(1, 1)))
-	rt.Sync([]route.Endpoint{{ID: "e", Zone: "dc1"}})
-	gate := NewGate(rt)
+	pl := route.New("dc1", rand.New(rand.NewPCG(1, 1)))
+	pl.Sync([]route.Endpoint{{ID: "e", Zone: "dc1"}})
+	gate := NewGate(pl)
 	for range 16 {
 		_, _, _ = gate.Enter(route.Ask{}, Ask{Deadline: clock.Hour, Share: 1}, 1, func(route.Endpoint, Outcome) {})
 	}
--- a/pkg/admit/time.go
+++ b/pkg/admit/budget.go
@@ -4,16 +4,16 @@
 
 // contendedShare is the share of the target latency that a request's estimate may use up
 // while its pools are contended. The estimate is made from current waits, but more urgent
-// requests that arrive later go first and items of other requests lengthen its calls: a
+// requests that arrive later go first and items of other requests lengthen its batches: a
 // tenth of the requests took 0.9 s longer than estimated. Without this margin most requests
-// admitted at the last millisecond were late and used slots that others needed.
+// admitted with no time to spare were late and used slots that others needed.
 const contendedShare = 0.75
 
 // Budget is the time budget of a request on arrival.
 type Budget struct {
 	// Estimate is the estimated time of the stages, including their queueing delays.
 	Estimate clock.Milli
-	// ToDeadline is the time until the caller's deadline, InTime the time until the target
+	// ToDeadline is the time until the caller's deadline, ToTarget the time until the target
 	// latency is exceeded. They are equal for a request without a target latency.
 	ToDeadline clock.Milli
 	ToTarget   clock.Milli
@@ -26,7 +26,7 @@
 
 // Admission decisions.
 const (
-	// LetIn: the request is expected in time, or no queued request would be delayed by it.
+	// LetIn: the answer is expected in time, or the request would delay no queued one.
 	LetIn Admission = iota
 	// Hopeless: the request can't be answered before the caller's deadline.
 	Hopeless
@@ -37,11 +37,11 @@
 
 // Judge decides on admission when the request arrives. A refusal on arrival costs nothing;
 // a later one wastes endpoint time and leaves the caller less time for a retry.
-func (tms Budget) Judge() Admission {
+func (bdg Budget) Judge() Admission {
 	switch {
-	case tms.Estimate > tms.ToDeadline:
+	case bdg.Estimate > bdg.ToDeadline:
 		return Hopeless
-	case tms.Contended && float64(tms.Estimate) > contendedShare*float64(tms.ToTarget):
+	case bdg.Contended && float64(bdg.Estimate) > contendedShare*float64(bdg.ToTarget):
 		return ShedLate
 	}
 	return LetIn
@@ -49,9 +49,9 @@
 
 // Excess returns by how much the estimate exceeds the available time. It is the shortest
 // useful retry-after delay if the queues drain in the meantime.
-func (tms Budget) Excess() clock.Milli {
-	if tms.Estimate > tms.ToDeadline {
-		return tms.Estimate - tms.ToDeadline
+func (bdg Budget) Excess() clock.Milli {
+	if bdg.Estimate > bdg.ToDeadline {
+		return bdg.Estimate - bdg.ToDeadline
 	}
-	return tms.Estimate - tms.ToTarget
+	return bdg.Estimate - bdg.ToTarget
 }
--- a/pkg/admit/time_test.go
+++ b/pkg/admit/budget_test.go
@@ -42,13 +42,13 @@
 	const pace, slower, own, goal = 100.0, 1.33, 300, 1400
 	admitted := 0
 	for range 50 {
-		tms := Budget{Estimate: clock.Milli(pace*float64(admitted)) + own, ToDeadline: 8000, ToTarget: goal, Contended: admitted > 2}
-		if tms.Judge() == LetIn {
+		bdg := Budget{Estimate: clock.Milli(pace*float64(admitted)) + own, ToDeadline: 8000, ToTarget: goal, Contended: admitted > 2}
+		if bdg.Judge() == LetIn {
 			admitted++
 			gom.Expect((pace*float64(admitted-1)+own)*slower).To(gomega.BeNumerically("<=", goal), "request %d in the queue", admitted)
 			continue
 		}
-		gom.Expect(tms.Estimate - tms.ToTarget).To(gomega.Equal(tms.Excess()))
+		gom.Expect(bdg.Estimate - bdg.ToTarget).To(gomega.Equal(bdg.Excess()))
 	}
 	gom.Expect(admitted).To(gomega.Equal(8))
 }
@@ -58,13 +58,13 @@
 func TestAdmissionIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) clock.Milli { return clock.Milli(rapid.IntRange(0, 10000).Draw(t, name)) }
-		tms := Budget{Estimate: draw("need"), ToDeadline: draw("left"), Contended: rapid.Bool().Draw(t, "crowded")}
-		tms.ToTarget = min(tms.ToDeadline, draw("goal"))
-		worse := tms
+		bdg := Budget{Estimate: draw("need"), ToDeadline: draw("left"), Contended: rapid.Bool().Draw(t, "crowded")}
+		bdg.ToTarget = min(bdg.ToDeadline, draw("goal"))
+		worse := bdg
 		worse.Estimate += draw("more")
 		worse.Contended = worse.Contended || rapid.Bool().Draw(t, "crowd")
-		if tms.Judge() != LetIn && worse.Judge() == LetIn {
-			t.Fatalf("%+v is refused, but %+v is admitted", tms, worse)
+		if bdg.Judge() != LetIn && worse.Judge() == LetIn {
+			t.Fatalf("%+v is refused, but %+v is admitted", bdg, worse)
 		}
 	})
 }
--- a/pkg/admit/needs.go
+++ b/pkg/admit/estimate.go
@@ -23,39 +23,39 @@
 }
 
 // Sample records the duration of one run of the stage that ended at now.
-func (ned *Estimator) Sample(took, now clock.Milli) {
+func (est *Estimator) Sample(took, now clock.Milli) {
 	val := float64(took)
-	if ned.lastSample == 0 {
-		ned.mean, ned.dev, ned.lastSample = val, val/2, now
+	if est.lastSample == 0 {
+		est.mean, est.dev, est.lastSample = val, val/2, now
 		return
 	}
-	ned.lastSample = now
-	diff := val - ned.mean
-	ned.mean += sampleWeight * diff
+	est.lastSample = now
+	diff := val - est.mean
+	est.mean += sampleWeight * diff
 	if diff < 0 {
 		diff = -diff
 	}
-	ned.dev += sampleWeight * (diff - ned.dev)
+	est.dev += sampleWeight * (diff - est.dev)
 }
 
 // Mean returns the mean service time.
-func (ned *Estimator) Mean(guess, now clock.Milli) clock.Milli {
-	return ned.current(clock.Milli(ned.mean), guess, now)
+func (est *Estimator) Mean(guess, now clock.Milli) clock.Milli {
+	return est.current(clock.Milli(est.mean), guess, now)
 }
 
 // Upper returns the mean plus twice the deviation, an upper estimate that few runs
-// exceed. Admission uses it because the mean admits, under overload, the half of the
-// requests that take longer than the mean, and these then miss their deadlines.
-func (ned *Estimator) Upper(guess, now clock.Milli) clock.Milli {
-	return ned.current(clock.Milli(ned.mean+2*ned.dev), guess, now)
+// exceed. Admission uses it: estimates by the mean are exceeded by half of the requests,
+// and under overload these would be admitted and miss their deadlines.
+func (est *Estimator) Upper(guess, now clock.Milli) clock.Milli {
+	return est.current(clock.Milli(est.mean+2*est.dev), guess, now)
 }
 
 // current returns the measured value, or the guess where there is no fresh measurement.
-func (ned *Estimator) current(measured, guess, now clock.Milli) clock.Milli {
+func (est *Estimator) current(measured, guess, now clock.Milli) clock.Milli {
 	switch {
-	case ned.lastSample == 0:
+	case est.lastSample == 0:
 		return guess
-	case now-ned.lastSample > staleAfter:
+	case now-est.lastSample > staleAfter:
 		return min(measured, guess)
 	}
 	return measured
--- a/pkg/admit/gate.go
+++ b/pkg/admit/gate.go
@@ -10,18 +10,18 @@
 // pool of endpoints at one instance. It is not safe for concurrent use: the daemon
 // guards it with a lock, and measurements call it in simulated time.
 type Gate struct {
-	rt  *route.Pool
-	que Queue
-	bdg retry.Budget
+	pool *route.Pool
+	que  Queue
+	bdg  retry.Budget
 	// plain allows every retry, as a baseline.
 	plain bool
 }
 
 // NewGate returns the gate of a pool.
-func NewGate(rt *route.Pool) *Gate { return &Gate{rt: rt} }
+func NewGate(pl *route.Pool) *Gate { return &Gate{pool: pl} }
 
 // Pool returns the endpoints of the pool.
-func (gt *Gate) Pool() *route.Pool { return gt.rt }
+func (gt *Gate) Pool() *route.Pool { return gt.pool }
 
 // Queue returns the wait queue of the pool.
 func (gt *Gate) Queue() *Queue { return &gt.que }
@@ -49,7 +49,7 @@
 // Enter requests a slot at an endpoint. If the request has to wait, ready is called
 // once: with Served and the endpoint, or with the reason why there is none.
 func (gt *Gate) Enter(where route.Ask, ask Ask, now clock.Milli, ready func(ep route.Endpoint, out Outcome)) (route.Endpoint, *Ticket, EnterResult) {
-	if gt.rt.Usable() == 0 {
+	if gt.pool.Usable() == 0 {
 		return route.Endpoint{}, nil, RefusedEmpty
 	}
 	if gt.que.Len() == 0 {
@@ -57,10 +57,10 @@
 			return ep, nil, Granted
 		}
 	}
-	tkt, ver := gt.que.Join(ask, now, func(out Outcome, at clock.Milli) {
+	tkt, res := gt.que.Join(ask, now, func(out Outcome, at clock.Milli) {
 		ready(gt.assign(where, out, at))
 	})
-	switch ver {
+	switch res {
 	case Full:
 		return route.Endpoint{}, nil, RefusedFull
 	case TooLate:
@@ -74,11 +74,11 @@
 	if out != Served {
 		return route.Endpoint{}, out
 	}
-	ep, ok := gt.rt.Pick(where, now)
+	ep, ok := gt.pool.Pick(where, now)
 	if !ok && len(where.Avoid) > 0 {
 		// Only endpoints that were already tried have free slots; use one of
 		// those rather than none.
-		ep, ok = gt.rt.Pick(route.Ask{Prefix: where.Prefix}, now)
+		ep, ok = gt.pool.Pick(route.Ask{Prefix: where.Prefix}, now)
 	}
 	if !ok {
 		return route.Endpoint{}, Late
@@ -87,8 +87,8 @@
 }
 
 // Finish releases a slot and serves queued requests.
-func (gt *Gate) Finish(id string, ver route.Outcome, took, now clock.Milli) {
-	gt.rt.Finish(id, ver, took, now)
+func (gt *Gate) Finish(id string, out route.Outcome, took, now clock.Milli) {
+	gt.pool.Finish(id, out, took, now)
 	gt.Tick(now)
 }
 
@@ -96,7 +96,7 @@
 // drops requests that can no longer meet their deadlines.
 func (gt *Gate) Tick(now clock.Milli) {
 	served := true
-	for served && gt.rt.Available(route.Ask{}) {
+	for served && gt.pool.Available(route.Ask{}) {
 		served = gt.que.Serve(now)
 	}
 	gt.que.Expire(now)
@@ -117,5 +117,5 @@
 
 // idle reports whether no request waits and less than half of the capacity is in use.
 func (gt *Gate) idle() bool {
-	return gt.que.Len() == 0 && 2*gt.rt.InFlight() < gt.rt.Capacity()
+	return gt.que.Len() == 0 && 2*gt.pool.InFlight() < gt.pool.Capacity()
 }
--- a/pkg/claim/judge.go
+++ b/pkg/claim/judge.go
@@ -36,26 +36,26 @@
 	HolderLive bool
 }
 
-// Judge decides from the state of a key at the time now. The result is set for Refuse and
-// Answer.
-func Judge(st State, ask Query, now clock.Milli) (Move, outcm.Result) {
-	named := st.attempt != ""
-	if named && st.digest != ask.Digest {
+// Judge returns the next step for a request from the state of its key at the time now. The
+// result is set for Refuse and Answer.
+func Judge(st State, qry Query, now clock.Milli) (Move, outcm.Result) {
+	claimed := st.attempt != ""
+	if claimed && st.digest != qry.Digest {
 		return Refuse, outcm.New(outcm.NotRun, outcm.KeyConflict, "the key belongs to a request with another digest; this one did not run")
 	}
 	if st.phase == Settled {
 		return Answer, st.Result()
 	}
-	if st.phase == Held && st.attempt == ask.Attempt {
+	if st.phase == Held && st.attempt == qry.Attempt {
 		return Run, outcm.Result{}
 	}
-	if st.phase == Held && !ask.HolderLive {
+	if st.phase == Held && !qry.HolderLive {
 		return Refuse, outcm.New(outcm.Unknown, outcm.KeyHolderGone, "the instance that holds the key is no longer live; the request will not be run again")
 	}
 	if st.phase == Held {
 		return Wait, outcm.Result{}
 	}
-	if ask.Expires <= now || named && st.expires <= now {
+	if qry.Expires <= now || claimed && st.expires <= now {
 		return Refuse, outcm.New(outcm.Unknown, outcm.KeyExpired, "the key has expired; whether the request ran is unknown")
 	}
 	return Append, outcm.Result{}
--- a/pkg/claim/ledger.go
+++ b/pkg/claim/ledger.go
@@ -277,9 +277,9 @@
 func (ldg *Ledger) forgetExpired() {
 	n := 0
 	for n < len(ldg.expiries) && ldg.expiries[n].at <= ldg.logNow {
-		ent := ldg.expiries[n]
-		if ldg.keys[ent.key].forgetAt <= ldg.logNow {
-			delete(ldg.keys, ent.key)
+		exp := ldg.expiries[n]
+		if ldg.keys[exp.key].forgetAt <= ldg.logNow {
+			delete(ldg.keys, exp.key)
 		}
 		n++
 	}
--- a/pkg/claim/ledger_test.go
+++ b/pkg/claim/ledger_test.go
@@ -28,8 +28,8 @@
 			at, _ := strconv.ParseInt(vals["at"], 10, 64)
 			switch verb {
 			case "ask":
-				ask := Query{Attempt: vals["attempt"], Digest: vals["digest"], Expires: milli(vals["expires"]), HolderLive: vals["live"] != "no"}
-				move, res := Judge(ldg.Find(vals["key"]), ask, clock.Milli(at))
+				qry := Query{Attempt: vals["attempt"], Digest: vals["digest"], Expires: milli(vals["expires"]), HolderLive: vals["live"] != "no"}
+				move, res := Judge(ldg.Find(vals["key"]), qry, clock.Milli(at))
 				fmt.Fprintf(&out, "%s -> %s %s %s\n", line, move, res.Outcome(), res.Reason())
 			case "restart":
 				start, _ := strconv.ParseInt(vals["start"], 10, 64)
@@ -94,8 +94,8 @@
 	if ins.attempt == "" || ins.gaveUp || ins.ran {
 		return
 	}
-	ask := Query{Attempt: ins.attempt, Digest: "d", Expires: MaxLife / 2, HolderLive: live}
-	if move, _ := Judge(ins.ldg.Find("k"), ask, 1); move == Run {
+	qry := Query{Attempt: ins.attempt, Digest: "d", Expires: MaxLife / 2, HolderLive: live}
+	if move, _ := Judge(ins.ldg.Find("k"), qry, 1); move == Run {
 		ins.ran = true
 		scn.ran[ins.attempt] = true
 	}
--- a/pkg/claim/tickets.go
+++ b/pkg/claim/tickets.go
@@ -41,18 +41,18 @@
 }
 
 // Find returns the state of a ticket.
-func (dsk *Tickets) Find(key string) State { return dsk.keys[key] }
+func (tks *Tickets) Find(key string) State { return tks.keys[key] }
 
 // Hold assigns a free ticket to an attempt. It returns false if the ticket is not free or
 // the limit of tickets is reached.
-func (dsk *Tickets) Hold(ent Entry, now clock.Milli) bool {
-	if dsk.keys == nil {
-		dsk.keys = map[string]State{}
+func (tks *Tickets) Hold(ent Entry, now clock.Milli) bool {
+	if tks.keys == nil {
+		tks.keys = map[string]State{}
 	}
-	if dsk.keys[ent.Key].phase != Free || len(dsk.keys) >= maxTickets && !dsk.forgetExpired(now) {
+	if tks.keys[ent.Key].phase != Free || len(tks.keys) >= maxTickets && !tks.forgetExpired(now) {
 		return false
 	}
-	dsk.keys[ent.Key] = State{
+	tks.keys[ent.Key] = State{
 		phase: Held, attempt: ent.Attempt, holder: ent.Holder, digest: ent.Digest,
 		expires: ent.Expires, forgetAt: now + MaxLife + Grace,
 	}
@@ -60,29 +60,29 @@
 }
 
 // Release frees a ticket whose attempt ran nothing with an effect.
-func (dsk *Tickets) Release(key, attempt string) {
-	if st := dsk.keys[key]; st.phase == Held && st.attempt == attempt {
+func (tks *Tickets) Release(key, attempt string) {
+	if st := tks.keys[key]; st.phase == Held && st.attempt == attempt {
 		st.phase = Free
-		dsk.keys[key] = st
+		tks.keys[key] = st
 	}
 }
 
 // Settle records the outcome of a ticket's request.
-func (dsk *Tickets) Settle(ent Entry) {
-	st := dsk.keys[ent.Key]
+func (tks *Tickets) Settle(ent Entry) {
+	st := tks.keys[ent.Key]
 	if st.phase != Held || st.attempt != ent.Attempt {
 		return
 	}
-	dsk.keys[ent.Key] = st.settled(ent)
+	tks.keys[ent.Key] = st.settled(ent)
 }
 
 // forgetExpired removes expired tickets and reports whether there is capacity for another
 // one.
-func (dsk *Tickets) forgetExpired(now clock.Milli) bool {
-	for key, st := range dsk.keys {
+func (tks *Tickets) forgetExpired(now clock.Milli) bool {
+	for key, st := range tks.keys {
 		if st.forgetAt <= now {
-			delete(dsk.keys, key)
+			delete(tks.keys, key)
 		}
 	}
-	return len(dsk.keys) < maxTickets
+	return len(tks.keys) < maxTickets
 }
--- a/pkg/gather/doc.go
+++ b/pkg/gather/doc.go
@@ -1,12 +1,12 @@
-// Package gather schedules batches: it decides which items of stages go together to which endpoint.
+// Package gather schedules batches: it decides which items form a batch and which endpoint gets it.
 //
 // # Concepts
 //
 // An endpoint of a stage's pool processes items, from any requests, in batches of bounded size. A
 // batch has a fixed cost: eight items in one batch take less than half the time of eight batches. A
 // single instance sees too few requests to fill batches, so one instance schedules the items of a
-// pool for all instances. A [Scheduler] is the state of this scheduler: the waiting items, the endpoints
-// with their batches, and the results that still occupy storage.
+// pool for all instances. A [Scheduler] holds its state: the waiting items, the endpoints with
+// their batches, and the results that still occupy storage.
 //
 // # Order
 //
@@ -27,8 +27,8 @@
 // that it would refuse after the time of a batch.
 //
 // Storage occupied by results of other schedulers is learned from the endpoint's report
-// ([Scheduler.ReportFree]) and from items that it refuses ([Scheduler.MarkFull]). A job is not split over batches,
-// except in pools so large that its remaining items follow within milliseconds.
+// ([Scheduler.ReportFree]) and from items that it refuses ([Scheduler.MarkFull]). A job is not
+// split over batches, except in pools so large that its remaining items follow within milliseconds.
 //
 // Two instances may schedule the same pool for a while, when their membership views differ. That
 // costs batch size and some refused batches, but no result becomes wrong, because an item may be
--- a/pkg/gather/fill.go
+++ b/pkg/gather/fill.go
@@ -24,9 +24,9 @@
 		return sch.startBatch(ep, bld, now)
 	}
 	jobs = slices.DeleteFunc(jobs, func(job []Item) bool { return job[0].Exclusive })
-	for _, near := range []bool{true, false} {
+	for _, local := range []bool{true, false} {
 		for _, job := range jobs {
-			if (job[0].Zone == "" || job[0].Zone == ep.Zone) == near && !bld.taken[job[0].ID] && bld.fits(job) {
+			if (job[0].Zone == "" || job[0].Zone == ep.Zone) == local && !bld.taken[job[0].ID] && bld.fits(job) {
 				bld.add(job)
 			}
 		}
@@ -43,7 +43,7 @@
 // apart, batches of whole jobs only would leave part of each endpoint's capacity unused while
 // requests are refused.
 func (sch *Scheduler) mayTopUp(bld builder, now clock.Milli) bool {
-	if len(sch.waiting)-len(bld.items) < sch.spec.MaxItems || sch.spec.Capacity > 0 && float64(bld.bytes) > topUpRoomShare*float64(sch.spec.Capacity) {
+	if len(sch.waiting)-len(bld.items) < sch.spec.MaxItems || sch.spec.Capacity > 0 && float64(bld.bytes) > topUpStorageShare*float64(sch.spec.Capacity) {
 		return false
 	}
 	rate, _ := sch.effectiveSlots(now)
@@ -75,8 +75,8 @@
 	bytes int64
 }
 
-// fits reports whether the batch has room for a job: for all of it or, if the job may be split, for
-// its first item.
+// fits reports whether a job fits into the batch: all of it or, if the job may be split, its first
+// item.
 func (bld *builder) fits(job []Item) bool {
 	var bytes int64
 	for _, itm := range job {
@@ -91,7 +91,7 @@
 // maySplit reports whether a job may be split over batches: one that has begun already, or one too
 // large for a batch.
 func (sch *Scheduler) maySplit(job []Item, bytes int64) bool {
-	return job[0].Begun || len(job) > sch.spec.MaxItems || sch.spec.Capacity > 0 && float64(bytes) > wholeJobRoomShare*float64(sch.spec.Capacity)
+	return job[0].Begun || len(job) > sch.spec.MaxItems || sch.spec.Capacity > 0 && float64(bytes) > wholeJobStorageShare*float64(sch.spec.Capacity)
 }
 
 // add adds the items of a job that fit.
--- a/pkg/gather/gather.go
+++ b/pkg/gather/gather.go
@@ -23,8 +23,8 @@
 	// consecutive failure, up to maxEject.
 	minEject = 500 * clock.Milli(1)
 	maxEject = 4 * clock.Second
-	// The time-out of a batch is timeoutFactor times its expected time, plus timeoutMargin. Until
-	// then a silent endpoint cannot be told from a slow one.
+	// timeoutFactor times the expected time of a batch, plus timeoutMargin, is its time-out. Before
+	// that an unresponsive endpoint cannot be distinguished from a slow one.
 	timeoutFactor = 3.0
 	timeoutMargin = 300 * clock.Milli(1)
 	// fullRetryDelay is how long an endpoint without free result storage gets no batch, unless a
@@ -43,13 +43,13 @@
 	// topUpIntervalMs is the longest interval between the batches of a pool, in milliseconds, at
 	// which jobs are split to fill batches.
 	topUpIntervalMs = 30.0
-	// topUpRoomShare is the share of an endpoint's result storage above which a batch is not topped
+	// topUpStorageShare is the share of an endpoint's result storage above which a batch is not topped
 	// up with part of a job, whose results occupy storage until its remaining items are complete.
-	topUpRoomShare = 0.5
-	// wholeJobRoomShare is the share of an endpoint's result storage above which the results of a
+	topUpStorageShare = 0.5
+	// wholeJobStorageShare is the share of an endpoint's result storage above which the results of a
 	// job may be split. A larger job would wait long for so much storage at one endpoint, while
 	// small ones take each bit that is released.
-	wholeJobRoomShare = 0.25
+	wholeJobStorageShare = 0.25
 )
 
 // Spec describes how the endpoints of a pool process items.
@@ -58,12 +58,12 @@
 	Slots int
 	// MaxItems is the largest number of items in a batch.
 	MaxItems int
-	// BatchMs is the fixed time of a batch and Item the time that each item adds, in milliseconds.
+	// BatchMs is the fixed time of a batch and ItemMs the time that each item adds.
 	BatchMs float64
 	ItemMs  float64
 	// Capacity is the result storage of an endpoint in bytes; zero if unbounded.
 	Capacity int64
-	// TTL is the TTL of a result that is not released.
+	// TTL is how long an endpoint stores a result that is not released.
 	TTL clock.Milli
 }
 
@@ -267,17 +267,17 @@
 	return before > len(sch.waiting)
 }
 
-// TakeExpired removes and returns the items that can no longer be completed before they are of no use.
+// TakeExpired removes and returns the items that can no longer be completed before they expire.
 func (sch *Scheduler) TakeExpired(now clock.Milli) []Item {
-	var gone []Item
+	var expired []Item
 	sch.waiting = slices.DeleteFunc(sch.waiting, func(itm Item) bool {
 		if now+sch.spec.Time(1) <= itm.Expires {
 			return false
 		}
-		gone = append(gone, itm)
+		expired = append(expired, itm)
 		return true
 	})
-	return gone
+	return expired
 }
 
 // Waiting returns the number of queued items.
@@ -313,8 +313,8 @@
 	return soonest + clock.Milli(float64(ahead)*interval)
 }
 
-// plannedInterval returns the planned time between the starts of two items with the given number of
-// slots, in milliseconds.
+// plannedInterval returns the planned mean time between the starts of two items with the given
+// number of slots, in milliseconds.
 func (sch *Scheduler) plannedInterval(rate float64) float64 {
 	fill := sch.expectedFill()
 	return float64(sch.spec.Time(int(fill))) / fill / rate
--- a/pkg/gather/gather_test.go
+++ b/pkg/gather/gather_test.go
@@ -92,7 +92,7 @@
 
 // TestBegunJobsGoFirst: three items of a job are complete and the job is late, while jobs that can
 // still be on time wait too. The remaining items go first: sorted behind the others they waited
-// until their caller left, and the three results occupied the storage that the others needed.
+// until their caller disconnected, and the three results occupied the storage that the others needed.
 func TestBegunJobsGoFirst(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	sch := newScheduler(1)
@@ -106,11 +106,11 @@
 	gom.Expect(bat.Items).To(gomega.HaveLen(1), "the other job goes whole into the next batch")
 }
 
-// TestLowRoomDoesNotSplitJobs: the only endpoint has storage for two more results, and a job of
+// TestLowStorageDoesNotSplitJobs: the only endpoint has storage for two more results, and a job of
 // three waits. If it were split, two results would occupy that storage until the third item is
-// complete, which waits for the same storage. The job waits until it fits, and a smaller one that
+// complete, which would wait for the same storage. The job waits until it fits, and a smaller one that
 // fits is sent before it.
-func TestLowRoomDoesNotSplitJobs(t *testing.T) {
+func TestLowStorageDoesNotSplitJobs(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	sch := newScheduler(1)
 	piece := func(job, index int64, due clock.Milli) Item {
@@ -172,10 +172,10 @@
 	}
 }
 
-// TestResultsTakeRoom: results occupy storage until they are released or expire. An endpoint that
-// reports full storage gets no batch for fullRetryDelay or until a release: a batch sent at once
-// would be refused again, and each attempt is charged to the retry budget.
-func TestResultsTakeRoom(t *testing.T) {
+// TestResultsOccupyStorage: results occupy storage until they are released or expire. An endpoint
+// that reports full storage gets no batch until fullRetryDelay has passed or a result is released:
+// a batch sent at once would be refused again, and each attempt is charged to the retry budget.
+func TestResultsOccupyStorage(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	sch := newScheduler(1)
 	for i := range int64(3) {
@@ -230,7 +230,7 @@
 	gom.Expect(bat.Endpoint.ID).NotTo(gomega.Equal(slow))
 }
 
-// TestExpired: items that can no longer be completed in time to be of use are returned at once.
+// TestExpired: items that can no longer be completed before they expire are returned at once.
 func TestExpired(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	sch := newScheduler(1)
@@ -256,7 +256,7 @@
 // TestWaitUsesThroughput: results fill the storage of all endpoints, so that a batch of four starts
 // only once a second although slots are free. The estimate uses the measured throughput: computed
 // from slots and planned times it was a fraction of the real wait, and requests were admitted that
-// then waited halfway until their results expired. The measurement decays once nothing is queued.
+// were half done and waiting when their results expired. The measurement decays once nothing is queued.
 func TestWaitUsesThroughput(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	sch := newScheduler(2)
--- a/pkg/gather/learn.go
+++ b/pkg/gather/learn.go
@@ -3,7 +3,7 @@
 import "amaranthvalve/pkg/clock"
 
 // Ended records the end of a batch and the results it produced.
-func (sch *Scheduler) Ended(id int64, ver Verdict, made []Result, now clock.Milli) {
+func (sch *Scheduler) Ended(id int64, ver Verdict, results []Result, now clock.Milli) {
 	ob, ok := sch.batches[id]
 	if !ok {
 		return
@@ -15,7 +15,7 @@
 	if sch.results == nil {
 		sch.results = map[string]storedResult{}
 	}
-	for _, res := range made {
+	for _, res := range results {
 		sch.results[res.Handle] = storedResult{endpoint: ep, bytes: res.Bytes, until: now + sch.spec.TTL}
 		ep.heldBytes += res.Bytes
 	}
@@ -41,13 +41,14 @@
 	}
 }
 
-// MarkFull records that an endpoint refused an item for lack of result storage. Sizes are estimates,
-// and other schedulers may have results there, so whatever this one's count says, no batch is sent
-// until a result is released or fullRetryDelay has passed. While results from before this scheduler
-// started may exist, the storage missing from its count is attributed to them for foreignTTL: after
-// a loss of all instances, batches sized by the count came back half refused until those results
-// expired, and partly completed jobs occupied what was left. Later a refusal only means that sizes
-// are estimates.
+// MarkFull records that an endpoint refused an item for lack of result storage. It gets no batch
+// until a result is released or fullRetryDelay has passed, even if storage is free by this
+// scheduler's count: sizes are estimates, and other schedulers may have results there.
+//
+// While results from before this scheduler started may exist, the storage missing from its count is
+// attributed to them for foreignTTL. Without that, after a loss of all instances half of each batch
+// sized by the count was refused until those results expired, and partly completed jobs occupied
+// what was left. Later a refusal only means that the estimated sizes were too small.
 func (sch *Scheduler) MarkFull(id string, now clock.Milli) {
 	ep, ok := sch.byID[id]
 	if !ok {
@@ -64,10 +65,10 @@
 // passed, there may be results that it does not know.
 func (sch *Scheduler) Begin(now clock.Milli) { sch.allKnownAt = now + sch.spec.TTL }
 
-// ReportFree records the free result storage that an endpoint reports and returns the storage occupied by
-// foreign results. These were produced for a previous scheduler; their size only shrinks and is
-// zero once they expire. So a later report counts only if it lowers the estimate: a report is some
-// hundred milliseconds old, and own results released since would count as foreign.
+// ReportFree records the free result storage that an endpoint reports and returns the storage
+// occupied by foreign results. These were produced for a previous scheduler; their size only
+// shrinks and is zero once they expire. So a later report counts only if it lowers the estimate: a
+// report is some hundred milliseconds old, and own results released since would count as foreign.
 func (sch *Scheduler) ReportFree(id string, free int64, now clock.Milli) int64 {
 	ep, ok := sch.byID[id]
 	if !ok || sch.spec.Capacity == 0 {
--- a/pkg/gather/spacing.go
+++ b/pkg/gather/spacing.go
@@ -8,9 +8,9 @@
 // spacing keeps the starts of a pool's batches apart by the planned time of a batch divided by the
 // number of slots.
 //
-// Without it the items at hand take all free slots in small batches. These end together, and what
-// arrived meanwhile has waited for half a batch and goes in one large batch: the batches bunch as
-// the buses of a line do, and are held back for the same reason.
+// Without it the queued items take all free slots in small batches. These end together, and the
+// items that arrived meanwhile, after half a batch's time of waiting, go in one large batch: the
+// batches bunch up, as buses on a route do.
 type spacing struct {
 	// started is set once a batch has started, the latest at last; meanMs is the mean planned time.
 	started bool
--- a/pkg/gather/throughput.go
+++ b/pkg/gather/throughput.go
@@ -19,7 +19,7 @@
 //
 // Slots and planned times give an upper bound only. Where results fill the storage of the
 // endpoints, the pool is several times slower, and an estimate from planned times admitted requests
-// that then waited halfway until their results expired.
+// that were half done and waiting when their results expired.
 type throughput struct {
 	at      clock.Milli
 	backlog bool
--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -210,7 +210,7 @@
 // Len returns the number of facts.
 func (tbl *Table) Len() int { return len(tbl.facts) }
 
-// Evicted returns how many facts were evicted or rejected for lack of room so far.
+// Evicted returns the number of facts evicted or rejected because their kind was at its maximum.
 func (tbl *Table) Evicted() int { return tbl.evicted }
 
 // Digest returns a hash of the table's contents without the ages; zero if it is empty.
--- a/pkg/gossip/spread.go
+++ b/pkg/gossip/spread.go
@@ -19,8 +19,8 @@
 // Enqueue queues facts that originate at this instance and are already in its table.
 func (spr *Spread) Enqueue(fresh ...Fact) { spr.pending = append(spr.pending, fresh...) }
 
-// Receive merges the facts of a message and reports whether any of them changed the table. With mesh
-// set the originator sends to all instances itself, and the facts are not forwarded.
+// Receive merges the facts of a message and reports whether any of them changed the table. With
+// mesh set the originator sends to all instances itself, and the facts are not forwarded.
 func (spr *Spread) Receive(list []Fact, mesh bool, now clock.Milli) bool {
 	fresh := spr.Learn(list, now)
 	if !mesh {
--- a/pkg/graph/graph.go
+++ b/pkg/graph/graph.go
@@ -71,8 +71,8 @@
 	return last
 }
 
-// PathTimes returns for each stage the time of the longest path from its start to the final call; span
-// gives the time of one stage.
+// PathTimes returns for each stage the time of the longest path from its start to the final call;
+// span gives the time of one stage.
 func (gr Graph) PathTimes(span func(stg int) clock.Milli) []clock.Milli {
 	times := make([]clock.Milli, len(gr.after))
 	for _, stg := range slices.Backward(gr.topo) {
--- a/pkg/graph/run.go
+++ b/pkg/graph/run.go
@@ -100,26 +100,26 @@
 }
 
 // Reset resets a running stage whose inputs were lost, and the stages that must run again for it:
-// those it takes results of and, recursively, their inputs unless held reports their results as
-// still stored. It returns the stages that were done and no longer are.
-func (run *Run) Reset(stg int, held func(stg int) bool) []int {
+// those whose results it takes and, recursively, those whose results they take, unless stored
+// reports that a result is still there. It returns the stages that were done and no longer are.
+func (run *Run) Reset(stg int, stored func(stg int) bool) []int {
 	run.states[stg] = pending
 	var lost []int
 	for _, pre := range run.gr.after[stg] {
-		lost = append(lost, run.invalidate(pre, held)...)
+		lost = append(lost, run.invalidate(pre, stored)...)
 	}
 	return lost
 }
 
-func (run *Run) invalidate(stg int, held func(stg int) bool) []int {
+func (run *Run) invalidate(stg int, stored func(stg int) bool) []int {
 	if run.states[stg] != done || run.skipped[stg] {
 		return nil
 	}
 	run.states[stg] = pending
 	lost := []int{stg}
 	for _, pre := range run.gr.after[stg] {
-		if !held(pre) {
-			lost = append(lost, run.invalidate(pre, held)...)
+		if !stored(pre) {
+			lost = append(lost, run.invalidate(pre, stored)...)
 		}
 	}
 	return lost
--- a/pkg/ident/watch.go
+++ b/pkg/ident/watch.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// RestartWatch cancels calls to endpoints that turn out to have restarted. A call to an earlier
-// run is never answered; if the connection is unresponsive as well, only a timeout would
-// end it. The zero value watches nothing. It is safe for concurrent use.
+// RestartWatch cancels calls to endpoints that have restarted. A call to an earlier run is
+// never answered; if its connection is not reset either, only a timeout would end it. The
+// zero value watches nothing. It is safe for concurrent use.
 type RestartWatch struct {
 	mtx  sync.Mutex
 	next int64
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -11,12 +11,12 @@
 //
 // A holder can be paused between its last reading of the clock and the write of an order.
 // Two measures keep such an order from doing harm. An endpoint that checks fencing numbers
-// refuses it. For an endpoint that does not, a new holder can acquire the lease only Flight
-// after its end, the maximum time that an order may be in flight; and orders state a
-// desired result, not a step, so that the new holder reads the state back and corrects it.
-// One case remains: a holder paused for longer than Flight with the bytes of an order
-// already passed to the kernel. The correction then follows with the next read, see
-// docs/PROOFS.md.
+// refuses it. For an endpoint that does not, a new holder can acquire the lease only
+// [MaxOrderTime] after its end, the maximum time that an order may be in flight; and orders
+// state a desired result, not a step, so that the new holder reads the state back and
+// corrects it. One case remains: a holder paused for longer than MaxOrderTime with the bytes
+// of an order already passed to the kernel. The correction then follows with the next read,
+// see docs/PROOFS.md.
 //
 // Source: C. Gray and D. Cheriton, "Leases: an efficient fault-tolerant mechanism for
 // distributed file cache consistency", SOSP 1989.
@@ -95,21 +95,21 @@
 }
 
 // Applied returns the offset of the last applied record.
-func (bk *Table) Applied() int64 { return bk.applied }
+func (tbl *Table) Applied() int64 { return tbl.applied }
 
 // Next returns the offset to read from.
-func (bk *Table) Next() int64 { return bk.applied + 1 }
+func (tbl *Table) Next() int64 { return tbl.applied + 1 }
 
 // Find returns a lease's last tenure, whether it has ended or not.
-func (bk *Table) Find(name string) (Tenure, bool) {
-	ten, ok := bk.leases[name]
+func (tbl *Table) Find(name string) (Tenure, bool) {
+	ten, ok := tbl.leases[name]
 	return ten, ok
 }
 
 // All returns the tenures by name.
-func (bk *Table) All() map[string]Tenure {
-	all := make(map[string]Tenure, len(bk.leases))
-	for name, ten := range bk.leases {
+func (tbl *Table) All() map[string]Tenure {
+	all := make(map[string]Tenure, len(tbl.leases))
+	for name, ten := range tbl.leases {
 		all[name] = ten
 	}
 	return all
@@ -118,59 +118,59 @@
 // Restart makes the state machine continue at the oldest offset that the log still has.
 // Leases last seconds and records are retained for hours, so that an unread lease has ended
 // long ago; its fencing number is smaller than any later offset.
-func (bk *Table) Restart(start int64) {
-	if start > bk.Next() {
-		bk.applied = start - 1
+func (tbl *Table) Restart(start int64) {
+	if start > tbl.Next() {
+		tbl.applied = start - 1
 	}
 }
 
 // Apply applies the next records in the order of their offsets. It stops at a missing
 // record, and gap is then true.
-func (bk *Table) Apply(recs []oplog.Record) (gap bool) {
+func (tbl *Table) Apply(recs []oplog.Record) (gap bool) {
 	for _, rec := range recs {
-		if rec.Offset < bk.Next() {
+		if rec.Offset < tbl.Next() {
 			continue
 		}
-		if rec.Offset > bk.Next() {
+		if rec.Offset > tbl.Next() {
 			return true
 		}
-		bk.applied = rec.Offset
-		bk.logNow = max(bk.logNow, rec.At)
+		tbl.applied = rec.Offset
+		tbl.logNow = max(tbl.logNow, rec.At)
 		var ent Entry
 		if json.Unmarshal(rec.Body, &ent) == nil && ent.Name != "" {
-			bk.step(rec, ent)
+			tbl.step(rec, ent)
 		}
 	}
 	return false
 }
 
-func (bk *Table) step(rec oplog.Record, ent Entry) {
-	if bk.leases == nil {
-		bk.leases = map[string]Tenure{}
+func (tbl *Table) step(rec oplog.Record, ent Entry) {
+	if tbl.leases == nil {
+		tbl.leases = map[string]Tenure{}
 	}
-	cur, ok := bk.leases[ent.Name]
+	cur, ok := tbl.leases[ent.Name]
 	mine := ok && cur.holder == ent.Holder
 	switch ent.Kind {
 	case KindAcquire:
 		switch {
 		case mine && rec.At < cur.until:
 			cur.until, cur.id = rec.At+TTL, ent.ID
-			bk.leases[ent.Name] = cur
+			tbl.leases[ent.Name] = cur
 		case !ok || rec.At >= cur.until+MaxOrderTime:
-			bk.leases[ent.Name] = Tenure{holder: ent.Holder, fence: rec.Offset, until: rec.At + TTL, id: ent.ID}
+			tbl.leases[ent.Name] = Tenure{holder: ent.Holder, fence: rec.Offset, until: rec.At + TTL, id: ent.ID}
 		}
 	case KindRelease:
 		if mine {
 			cur.until = min(cur.until, rec.At)
-			bk.leases[ent.Name] = cur
+			tbl.leases[ent.Name] = cur
 		}
 	}
 }
 
-// Available reports whether an acquisition appended at the time now would probably succeed. It
-// avoids appends that can't succeed and is never trusted for safety.
-func (bk *Table) Available(name string, now clock.Milli) bool {
-	ten, ok := bk.leases[name]
+// Available reports whether an acquisition appended at the time now would probably succeed.
+// It avoids appends that can't succeed and is never trusted for safety.
+func (tbl *Table) Available(name string, now clock.Milli) bool {
+	ten, ok := tbl.leases[name]
 	return !ok || now >= ten.until+MaxOrderTime
 }
 
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -19,14 +19,14 @@
 // TestSessions runs sequences of acquisitions, renewals and releases.
 func TestSessions(t *testing.T) {
 	golden.Run(t, "*.txtar", func(_ *testing.T, sections map[string]string) string {
-		var bk Table
+		var tbl Table
 		var out strings.Builder
 		for i, line := range golden.Lines(sections["input"]) {
 			verb, vals := golden.Fields(line)
 			at, _ := strconv.ParseInt(vals["at"], 10, 64)
 			ent := Entry{Kind: verb, Name: "orders", Holder: ident.Incarnation(vals["holder"]), ID: fmt.Sprint(i)}
-			bk.Apply([]oplog.Record{{Offset: int64(i + 1), At: clock.Milli(at), Body: ent.Encode()}})
-			ten, _ := bk.Find("orders")
+			tbl.Apply([]oplog.Record{{Offset: int64(i + 1), At: clock.Milli(at), Body: ent.Encode()}})
+			ten, _ := tbl.Find("orders")
 			fmt.Fprintf(&out, "%s -> held by %s, fence %d, until %d\n", line, ten.Holder(), ten.Fence(), ten.Until())
 		}
 		return out.String()
@@ -49,7 +49,7 @@
 func TestOneHolderAtATime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log []oplog.Record
-		var bk Table
+		var tbl Table
 		now := clock.Milli(1_000_000)
 		holders := make([]*holder, 3)
 		for i := range holders {
@@ -58,7 +58,7 @@
 		var inFlight []Entry
 		arrive := func(ent Entry) {
 			log = append(log, oplog.Record{Offset: int64(len(log) + 1), At: now, Body: ent.Encode()})
-			bk.Apply(log[len(log)-1:])
+			tbl.Apply(log[len(log)-1:])
 		}
 		last := int64(0)
 		for step := range rapid.IntRange(10, 60).Draw(t, "steps") {
@@ -78,7 +78,7 @@
 					arrive(inFlight[rapid.IntRange(0, len(inFlight)-1).Draw(t, "which")])
 				}
 			default:
-				ten, _ := bk.Find("orders")
+				ten, _ := tbl.Find("orders")
 				if ten.Holder() == hld.name && ten.ID() == hld.sentID {
 					hld.grant = NewGrant(ten.Fence(), hld.sentAt)
 				}
@@ -104,17 +104,17 @@
 // which another instance can acquire the lease, the first holder's grant is no longer
 // valid, and has not been for the time that an order may be in flight.
 func TestPausedHolderLosesGrant(t *testing.T) {
-	var bk Table
+	var tbl Table
 	acquire := func(offset int64, who ident.Incarnation, at clock.Milli) Tenure {
 		ent := Entry{Kind: KindAcquire, Name: "orders", Holder: who, ID: string(who)}
-		bk.Apply([]oplog.Record{{Offset: offset, At: at, Body: ent.Encode()}})
-		ten, _ := bk.Find("orders")
+		tbl.Apply([]oplog.Record{{Offset: offset, At: at, Body: ent.Encode()}})
+		ten, _ := tbl.Find("orders")
 		return ten
 	}
 	first := acquire(1, "i1", 1000)
 	grant := NewGrant(first.Fence(), 1000)
 	at := clock.Milli(1000)
-	for offset := int64(2); bk.leases["orders"].Holder() == "i1"; offset++ {
+	for offset := int64(2); tbl.leases["orders"].Holder() == "i1"; offset++ {
 		at += 100
 		acquire(offset, "i2", at)
 	}
--- a/pkg/limit/limit.go
+++ b/pkg/limit/limit.go
@@ -1,5 +1,6 @@
-// Package limit bounds concurrency and request rates: adaptive concurrency limits
-// for endpoints, document limits for workspaces, and rates that endpoints declare.
+// Package limit bounds concurrency and request rates: adaptive concurrency limits for
+// endpoints, limits for workspaces as the documents set them, and rates that endpoints
+// declare.
 //
 // An endpoint's limit follows additive increase and multiplicative decrease (D.-M.
 // Chiu and R. Jain, 1989), as in congestion control. A success while the limit is at
--- a/pkg/limit/limit_test.go
+++ b/pkg/limit/limit_test.go
@@ -19,14 +19,14 @@
 	gom := gomega.NewWithT(t)
 	wsp := NewWorkspace(0.1, 1, 10)
 	wsp.Set(0.1, 1, 10, 1000)
-	ver, _ := wsp.Enter(1000)
-	gom.Expect(ver).To(gomega.Equal(Admitted))
-	ver, wait := wsp.Enter(1001)
-	gom.Expect(ver).To(gomega.Equal(TooFast))
+	res, _ := wsp.Enter(1000)
+	gom.Expect(res).To(gomega.Equal(Admitted))
+	res, wait := wsp.Enter(1001)
+	gom.Expect(res).To(gomega.Equal(TooFast))
 	gom.Expect(wait).To(gomega.BeNumerically("~", 10*clock.Second, 10))
 	wsp.Set(5000, 5000, 10, 1002)
-	ver, _ = wsp.Enter(1002)
-	gom.Expect(ver).To(gomega.Equal(Admitted))
+	res, _ = wsp.Enter(1002)
+	gom.Expect(res).To(gomega.Equal(Admitted))
 }
 
 // TestRateIsEnforced: for any arrivals, no more requests are admitted in a period
@@ -39,7 +39,7 @@
 		now, entered := clock.Milli(1000), 0
 		for range rapid.IntRange(1, 300).Draw(t, "arrivals") {
 			now += clock.Milli(rapid.IntRange(0, 100).Draw(t, "gap"))
-			if ver, _ := wsp.Enter(now); ver == Admitted {
+			if res, _ := wsp.Enter(now); res == Admitted {
 				entered++
 			}
 		}
--- a/pkg/limit/rates.go
+++ b/pkg/limit/rates.go
@@ -14,15 +14,15 @@
 	takeoverShare  = 0.5
 )
 
-// CoordinatorShare returns the share of the endpoints' rates that their coordinator may use. silent is
-// the number of unresponsive instances that come before this one as coordinators, term the time
-// since this one took over. One unresponsive instance may still be coordinating for others; if
-// there are two, it is more likely that this instance is partitioned.
-func CoordinatorShare(silent int, term clock.Milli) float64 {
+// CoordinatorShare returns the share of the endpoints' rates that their coordinator may use.
+// unresponsive is the number of unresponsive instances that rank before this one as coordinators,
+// term the time since this one took over. One unresponsive instance may still be coordinating for
+// others; if there are two, it is more likely that this instance is partitioned.
+func CoordinatorShare(unresponsive int, term clock.Milli) float64 {
 	switch {
-	case silent > 1:
+	case unresponsive > 1:
 		return 0
-	case silent > 0 || term < takeoverPeriod:
+	case unresponsive > 0 || term < takeoverPeriod:
 		return takeoverShare
 	}
 	return 1
--- a/pkg/limit/size_test.go
+++ b/pkg/limit/size_test.go
@@ -36,7 +36,7 @@
 // arrival is a request that reached the endpoint.
 type arrival struct {
 	at clock.Milli
-	// counts is set if the sender knew the rate and was neither cut off nor restarted.
+	// counts is set if the sender knew the rate and was neither partitioned nor restarted.
 	counts bool
 }
 
--- a/pkg/member/choose.go
+++ b/pkg/member/choose.go
@@ -13,7 +13,7 @@
 )
 
 // nextTarget returns the next neighbour to probe, in a fixed order specific to the
-// instance. The round robin bounds the time until each has been probed, as in the paper.
+// instance. As in the paper, round robin bounds the time until each has been probed.
 func (lst *List) nextTarget() (ident.Incarnation, bool) {
 	if lst.nextIndex >= len(lst.order) {
 		lst.order, lst.nextIndex = lst.Neighbours(), 0
@@ -36,7 +36,7 @@
 func (lst *List) Neighbours() []ident.Incarnation {
 	var others []ident.Incarnation
 	for who, mbr := range lst.members {
-		if who != lst.self && mbr.news.Status != Dead {
+		if who != lst.self && mbr.update.Status != Dead {
 			others = append(others, who)
 		}
 	}
@@ -50,7 +50,7 @@
 func (lst *List) helpers(target ident.Incarnation) []ident.Incarnation {
 	var picked []ident.Incarnation
 	for _, who := range lst.Neighbours() {
-		if who != target && lst.members[who].news.Status <= Leaving && len(picked) < IndirectProbes {
+		if who != target && lst.members[who].update.Status <= Leaving && len(picked) < IndirectProbes {
 			picked = append(picked, who)
 		}
 	}
@@ -63,7 +63,7 @@
 func (lst *List) Owner(name string) ident.Incarnation {
 	var serving []ident.Incarnation
 	for who, mbr := range lst.members {
-		if mbr.news.Status == Alive {
+		if mbr.update.Status == Alive {
 			serving = append(serving, who)
 		}
 	}
@@ -82,9 +82,9 @@
 //
 // The ranking is by address and not by incarnation, each address once. When all instances
 // restart at once, an instance knows the addresses within milliseconds and the new
-// incarnations only a second later. Ranked by incarnation, each of hundreds of instances
-// considered itself the only owner until then, had items processed for itself and used up
-// the capacity of the endpoints.
+// incarnations only a second later. With a ranking by incarnation, each of hundreds of
+// instances considered itself the only owner until then, sent batches of its own items only
+// and used up the capacity of the endpoints.
 func (lst *List) Owners(name string) []ident.Incarnation {
 	type scored struct {
 		who   ident.Incarnation
@@ -94,7 +94,7 @@
 	var serving []scored
 	strongest := 0.0
 	for _, mbr := range lst.byAddress() {
-		serving = append(serving, scored{who: mbr.news.ID, cores: mbr.capacity(), score: mbr.score(name)})
+		serving = append(serving, scored{who: mbr.update.ID, cores: mbr.capacity(), score: mbr.score(name)})
 		strongest = max(strongest, mbr.capacity())
 	}
 	slices.SortFunc(serving, func(x, y scored) int {
@@ -109,11 +109,11 @@
 		}
 		return compare(x.who, y.who)
 	})
-	whos := make([]ident.Incarnation, len(serving))
+	ids := make([]ident.Incarnation, len(serving))
 	for i, sc := range serving {
-		whos[i] = sc.who
+		ids[i] = sc.who
 	}
-	return whos
+	return ids
 }
 
 // byAddress returns the live member at each address: the one seen last where there are
@@ -122,7 +122,7 @@
 func (lst *List) byAddress() map[string]*Member {
 	byAddr := make(map[string]*Member, len(lst.members))
 	for who, mbr := range lst.members {
-		if mbr.news.Status != Alive && !mbr.replaced {
+		if mbr.update.Status != Alive && !mbr.replaced {
 			continue
 		}
 		cur, ok := byAddr[who.Addr()]
@@ -150,16 +150,16 @@
 
 // capacity returns the capacity that a member reported, 1 if it reported none.
 func (mbr *Member) capacity() float64 {
-	if mbr.news.Capacity <= 0 {
+	if mbr.update.Capacity <= 0 {
 		return 1
 	}
-	return mbr.news.Capacity
+	return mbr.update.Capacity
 }
 
 // score is the member's rank for a name: its capacity divided by an exponential variate
 // derived from the name and the member's address.
 func (mbr *Member) score(name string) float64 {
-	hash := xxhash.Sum64String(name + "\x00" + mbr.news.ID.Addr())
+	hash := xxhash.Sum64String(name + "\x00" + mbr.update.ID.Addr())
 	even := (float64(hash>>11) + 0.5) / (1 << 53)
 	return mbr.capacity() / -math.Log(even)
 }
@@ -169,7 +169,7 @@
 func (lst *List) Rank() int {
 	pos := 0
 	for who, mbr := range lst.members {
-		if mbr.news.Status != Dead && who < lst.self {
+		if mbr.update.Status != Dead && who < lst.self {
 			pos++
 		}
 	}
@@ -183,35 +183,35 @@
 // outdated documents again.
 func (lst *List) MajoritySeen(now clock.Milli) (since clock.Milli, ok bool) {
 	all := 0
-	var heard []clock.Milli
+	var seen []clock.Milli
 	for _, mbr := range lst.members {
-		if mbr.news.Ended {
+		if mbr.update.Ended {
 			continue
 		}
 		all++
 		switch {
-		case mbr.news.ID == lst.self:
-			heard = append(heard, now)
-		case mbr.news.Status != Dead:
-			heard = append(heard, mbr.lastSeen)
+		case mbr.update.ID == lst.self:
+			seen = append(seen, now)
+		case mbr.update.Status != Dead:
+			seen = append(seen, mbr.lastSeen)
 		}
 	}
 	most := all/2 + 1
-	if len(heard) < most {
+	if len(seen) < most {
 		return 0, false
 	}
-	slices.Sort(heard)
-	return heard[len(heard)-most], true
+	slices.Sort(seen)
+	return seen[len(seen)-most], true
 }
 
 // rank orders members by the hash of the name and the member, highest first.
-func rank(name string, whos []ident.Incarnation) []ident.Incarnation {
+func rank(name string, ids []ident.Incarnation) []ident.Incarnation {
 	type scored struct {
 		who   ident.Incarnation
 		score uint64
 	}
-	list := make([]scored, len(whos))
-	for i, who := range whos {
+	list := make([]scored, len(ids))
+	for i, who := range ids {
 		list[i] = scored{who: who, score: xxhash.Sum64String(name + "\x00" + string(who))}
 	}
 	slices.SortFunc(list, func(x, y scored) int {
@@ -241,12 +241,12 @@
 	var late, lost []ident.Incarnation
 	all := 0
 	for who, mbr := range lst.members {
-		dead := mbr.news.Status == Dead
-		if !dead || !mbr.news.Ended {
+		dead := mbr.update.Status == Dead
+		if !dead || !mbr.update.Ended {
 			all++
 		}
 		switch {
-		case mbr.news.Applied >= offset || mbr.news.Ended:
+		case mbr.update.Applied >= offset || mbr.update.Ended:
 		case !dead || now-mbr.lastSeen < bound:
 			late = append(late, who)
 		default:
@@ -265,7 +265,7 @@
 func (lst *List) OwnerIn(zone, name string) ident.Incarnation {
 	var serving []ident.Incarnation
 	for who, mbr := range lst.members {
-		if mbr.news.Status == Alive && mbr.news.Zone == zone {
+		if mbr.update.Status == Alive && mbr.update.Zone == zone {
 			serving = append(serving, who)
 		}
 	}
--- a/pkg/member/member.go
+++ b/pkg/member/member.go
@@ -53,11 +53,11 @@
 	// then.
 	MaxUpdates = 6
 	MaxEnded   = 24
-	// When a member joins, leaves or ends, ExtraProbes additional probes are sent,
-	// ExtraProbeGap apart, so that the update reaches all instances within a second: each
-	// passes it on to three more, 86 members in four rounds. Regular probes alone take a
-	// quarter of a minute. The long-term rate of additional probes is one per
-	// ExtraProbePeriod, with bursts of extraProbeBurst.
+	// ExtraProbes additional probes are sent, ExtraProbeGap apart, when a member joins,
+	// leaves or ends, so that the update reaches all instances within a second: each passes
+	// it on to three more, 86 members in four rounds. Regular probes alone take a quarter
+	// of a minute. The long-term rate of additional probes is one per ExtraProbePeriod,
+	// with bursts of extraProbeBurst.
 	ExtraProbes      = 3
 	ExtraProbeGap    = 100 * clock.Milli(1)
 	ExtraProbePeriod = clock.Second
@@ -88,7 +88,7 @@
 
 // Member is the known state of one instance.
 type Member struct {
-	news Update
+	update Update
 	// lastSeen is the time of the last sign of life, changedAt that of the last change of status.
 	lastSeen  clock.Milli
 	changedAt clock.Milli
@@ -99,25 +99,25 @@
 }
 
 // ID returns the member's identity.
-func (mbr Member) ID() ident.Incarnation { return mbr.news.ID }
+func (mbr Member) ID() ident.Incarnation { return mbr.update.ID }
 
 // Zone returns the member's data centre.
-func (mbr Member) Zone() string { return mbr.news.Zone }
+func (mbr Member) Zone() string { return mbr.update.Zone }
 
 // Caller returns the address on which the member serves callers.
-func (mbr Member) Caller() string { return mbr.news.Caller }
+func (mbr Member) Caller() string { return mbr.update.Caller }
 
 // Status returns the member's believed state.
-func (mbr Member) Status() Status { return mbr.news.Status }
+func (mbr Member) Status() Status { return mbr.update.Status }
 
 // Applied returns the offset of the documents' stream that the member reported as applied.
-func (mbr Member) Applied() int64 { return mbr.news.Applied }
+func (mbr Member) Applied() int64 { return mbr.update.Applied }
 
 // Load returns the number of requests in flight that the member reported.
-func (mbr Member) Load() int { return mbr.news.Load }
+func (mbr Member) Load() int { return mbr.update.Load }
 
 // Stale reports whether the member declared that its documents may be out of date.
-func (mbr Member) Stale() bool { return mbr.news.Stale }
+func (mbr Member) Stale() bool { return mbr.update.Stale }
 
 // LastSeen returns the time of the last sign of life, received directly or through others.
 func (mbr Member) LastSeen() clock.Milli { return mbr.lastSeen }
@@ -154,8 +154,8 @@
 	extraBudget   float64
 	extraBudgetAt clock.Milli
 	nextExtraAt   clock.Milli
-	// changes counts changes of the state from which All and Homes follow; signs of life
-	// and loads are not counted.
+	// changes counts changes of the state from which All and Owners are derived; signs of
+	// life and loads are not counted.
 	changes uint64
 }
 
@@ -173,7 +173,7 @@
 		self: self, members: map[ident.Incarnation]*Member{}, pending: map[ident.Incarnation]pending{},
 		extraBudget: extraProbeBurst, extraBudgetAt: now,
 	}
-	lst.members[self] = &Member{news: Update{ID: self, Zone: zone, Caller: caller, Seq: 1}, lastSeen: now, changedAt: now}
+	lst.members[self] = &Member{update: Update{ID: self, Zone: zone, Caller: caller, Seq: 1}, lastSeen: now, changedAt: now}
 	return lst
 }
 
@@ -183,12 +183,12 @@
 // SetSelf sets what the instance reports of itself; leaving can't be undone.
 func (lst *List) SetSelf(applied int64, load int, leaving bool, now clock.Milli) {
 	me := lst.members[lst.self]
-	me.news.Applied = max(me.news.Applied, applied)
-	me.news.Load = load
+	me.update.Applied = max(me.update.Applied, applied)
+	me.update.Load = load
 	me.lastSeen = now
-	if leaving && me.news.Status == Alive {
-		me.news.Status = Leaving
-		me.news.Seq++
+	if leaving && me.update.Status == Alive {
+		me.update.Status = Leaving
+		me.update.Seq++
 		me.sends = 0
 		lst.changes++
 		lst.extraProbes = ExtraProbes
@@ -197,14 +197,14 @@
 
 // SetCapacity sets the instance's own capacity in cores.
 func (lst *List) SetCapacity(cores float64) {
-	lst.members[lst.self].news.Capacity = cores
+	lst.members[lst.self].update.Capacity = cores
 	lst.changes++
 }
 
 // SetStale sets whether the instance's own documents may be out of date.
 func (lst *List) SetStale(stale bool) {
-	if me := lst.members[lst.self]; me.news.Stale != stale {
-		me.news.Stale = stale
+	if me := lst.members[lst.self]; me.update.Stale != stale {
+		me.update.Stale = stale
 		lst.changes++
 	}
 }
@@ -227,7 +227,7 @@
 func (lst *List) All() []Member {
 	var all []Member
 	for _, mbr := range lst.members {
-		if mbr.news.Status != Dead {
+		if mbr.update.Status != Dead {
 			all = append(all, *mbr)
 		}
 	}
@@ -239,7 +239,7 @@
 // member is not live.
 func (lst *List) IsLive(who ident.Incarnation) bool {
 	mbr, ok := lst.members[who]
-	return ok && mbr.news.Status != Dead
+	return ok && mbr.update.Status != Dead
 }
 
 // Merge merges updates from another instance and reports whether any of them was new.
@@ -257,7 +257,7 @@
 	}
 	cur, ok := lst.members[item.ID]
 	switch {
-	case ok && cur.news.Ended:
+	case ok && cur.update.Ended:
 		// Proved to have ended; any further update is stale.
 		return false
 	case item.Ended || item.ID.Addr() == lst.self.Addr():
@@ -271,24 +271,24 @@
 		lst.add(item, now)
 		return true
 	}
-	fresh := item.Beat > cur.news.Beat
+	fresh := item.Beat > cur.update.Beat
 	if fresh {
 		// The member has completed another period since the last update.
-		if cur.news.Stale != item.Stale || cur.news.Capacity != item.Capacity {
+		if cur.update.Stale != item.Stale || cur.update.Capacity != item.Capacity {
 			lst.changes++
 		}
-		cur.news.Beat, cur.news.Load, cur.news.Stale = item.Beat, item.Load, item.Stale
-		cur.news.Capacity = item.Capacity
+		cur.update.Beat, cur.update.Load, cur.update.Stale = item.Beat, item.Load, item.Stale
+		cur.update.Capacity = item.Capacity
 		cur.lastSeen = now
 	}
-	cur.news.Applied = max(cur.news.Applied, item.Applied)
-	if !overrides(item, cur.news) {
+	cur.update.Applied = max(cur.update.Applied, item.Applied)
+	if !overrides(item, cur.update) {
 		return fresh
 	}
-	if item.Status != cur.news.Status && item.Status != Suspect && cur.news.Status != Suspect {
+	if item.Status != cur.update.Status && item.Status != Suspect && cur.update.Status != Suspect {
 		lst.extraProbes = ExtraProbes
 	}
-	cur.news.Seq, cur.news.Status = item.Seq, item.Status
+	cur.update.Seq, cur.update.Status = item.Seq, item.Status
 	cur.changedAt, cur.sends = now, 0
 	lst.changes++
 	return true
@@ -310,25 +310,25 @@
 // it holds would be answered as unknown.
 func (lst *List) refute(item Update) bool {
 	me := lst.members[lst.self]
-	if item.Status <= Leaving || item.Seq < me.news.Seq {
+	if item.Status <= Leaving || item.Seq < me.update.Seq {
 		return false
 	}
-	me.news.Seq = item.Seq + 1
+	me.update.Seq = item.Seq + 1
 	me.sends = 0
 	return true
 }
 
 // add adds an unknown member. An older incarnation at the same address is kept: an update
 // about it may be the more recent of the two, and the next probe of the address proves
-// which one is there (see Drop).
+// which one is there (see [List.MarkReplaced]).
 func (lst *List) add(item Update, now clock.Milli) {
-	lst.members[item.ID] = &Member{news: item, lastSeen: now, changedAt: now}
+	lst.members[item.ID] = &Member{update: item, lastSeen: now, changedAt: now}
 	lst.extraProbes = ExtraProbes
 	lst.changes++
 }
 
 func (lst *List) kill(mbr *Member, now clock.Milli) {
-	mbr.news.Status = Dead
+	mbr.update.Status = Dead
 	mbr.changedAt, mbr.sends = now, 0
 	lst.changes++
 }
@@ -341,7 +341,7 @@
 	switch {
 	case now >= lst.nextProbeAt:
 		lst.nextProbeAt = now + lst.period()
-		lst.members[lst.self].news.Beat++
+		lst.members[lst.self].update.Beat++
 	case !lst.takeExtraProbe(now):
 		return actions
 	}
@@ -375,12 +375,12 @@
 func (lst *List) expire(now clock.Milli) {
 	for who, mbr := range lst.members {
 		switch {
-		case mbr.news.Status == Suspect && now-max(mbr.changedAt, mbr.lastSeen) >= SuspectFor:
+		case mbr.update.Status == Suspect && now-max(mbr.changedAt, mbr.lastSeen) >= SuspectFor:
 			// A sign of life since the suspicion, direct or through others, postpones the
 			// expiry: with a fifth of the messages lost, a refutation often takes longer
 			// than SuspectFor, and healthy members were declared dead.
 			lst.kill(mbr, now)
-		case mbr.news.Ended && now-mbr.changedAt >= ForgetAfter:
+		case mbr.update.Ended && now-mbr.changedAt >= ForgetAfter:
 			delete(lst.members, who)
 			lst.changes++
 		case mbr.replaced && now-mbr.changedAt >= ReplacedFor:
@@ -416,8 +416,8 @@
 
 func (lst *List) suspect(who ident.Incarnation, now clock.Milli) {
 	mbr, ok := lst.members[who]
-	if ok && mbr.news.Status <= Leaving {
-		mbr.news.Status = Suspect
+	if ok && mbr.update.Status <= Leaving {
+		mbr.update.Status = Suspect
 		mbr.changedAt, mbr.sends = now, 0
 		lst.changes++
 	}
@@ -438,13 +438,13 @@
 // Ack records that a member acknowledged a direct or indirect probe.
 func (lst *List) Ack(who ident.Incarnation, now clock.Milli) {
 	delete(lst.pending, who)
-	if mbr, ok := lst.members[who]; ok && mbr.news.Status != Dead {
+	if mbr, ok := lst.members[who]; ok && mbr.update.Status != Dead {
 		mbr.lastSeen = now
 	}
 }
 
-// MarkReplaced records that another incarnation answered at the member's address, which proves that
-// the member has ended.
+// MarkReplaced records that another incarnation answered at the member's address, which
+// proves that the member has ended.
 func (lst *List) MarkReplaced(who ident.Incarnation, now clock.Milli) {
 	if _, ok := lst.members[who]; ok {
 		lst.MarkEnded(who, now)
@@ -460,13 +460,13 @@
 	delete(lst.pending, who)
 	mbr, ok := lst.members[who]
 	if !ok {
-		mbr = &Member{news: Update{ID: who}, lastSeen: now}
+		mbr = &Member{update: Update{ID: who}, lastSeen: now}
 		lst.members[who] = mbr
 	}
-	if !mbr.news.Ended {
+	if !mbr.update.Ended {
 		// The end is proved by the process that is at the address now.
 		mbr.replaced = ok
-		mbr.news.Ended = true
+		mbr.update.Ended = true
 		lst.kill(mbr, now)
 		lst.extraProbes = ExtraProbes
 	}
@@ -475,17 +475,17 @@
 // Delist records that the platform has removed a member declared dead from its instance
 // list, which proves that its process has ended.
 func (lst *List) Delist(who ident.Incarnation) {
-	if mbr, ok := lst.members[who]; ok && mbr.news.Status == Dead {
-		mbr.news.Ended = true
+	if mbr, ok := lst.members[who]; ok && mbr.update.Status == Dead {
+		mbr.update.Ended = true
 	}
 }
 
-// Unconfirmed returns the members declared dead whose end is not proved. They are probed while the
-// platform lists them, since they may be partitioned.
+// Unconfirmed returns the members declared dead whose end is not proved. They are probed
+// while the platform lists them, since they may be partitioned.
 func (lst *List) Unconfirmed() []ident.Incarnation {
 	var dead []ident.Incarnation
 	for who, mbr := range lst.members {
-		if mbr.news.Status == Dead && !mbr.news.Ended {
+		if mbr.update.Status == Dead && !mbr.update.Ended {
 			dead = append(dead, who)
 		}
 	}
@@ -499,7 +499,7 @@
 func (lst *List) AllUpdates() []Update {
 	all := make([]Update, 0, len(lst.members))
 	for _, mbr := range lst.members {
-		all = append(all, mbr.news)
+		all = append(all, mbr.update)
 	}
 	slices.SortFunc(all, func(x, y Update) int { return compare(x.ID, y.ID) })
 	return all
@@ -510,32 +510,32 @@
 // addition names of ended members. An update of a dead member is sent about 3·log2(n)
 // times.
 func (lst *List) Updates(to ident.Incarnation) []Update {
-	items := []Update{lst.members[lst.self].news}
-	if mbr, ok := lst.members[to]; ok && mbr.news.Status >= Suspect {
-		items = append(items, mbr.news)
+	items := []Update{lst.members[lst.self].update}
+	if mbr, ok := lst.members[to]; ok && mbr.update.Status >= Suspect {
+		items = append(items, mbr.update)
 	}
 	most := 3 * log2(len(lst.members)+1)
 	var rest, ended []*Member
 	for who, mbr := range lst.members {
 		switch {
-		case who == lst.self || who == to || mbr.sends >= most && mbr.news.Status == Dead:
-		case mbr.news.Ended:
+		case who == lst.self || who == to || mbr.sends >= most && mbr.update.Status == Dead:
+		case mbr.update.Ended:
 			ended = append(ended, mbr)
 		default:
 			rest = append(rest, mbr)
 		}
 	}
 	for _, mbr := range leastSent(rest, MaxUpdates-1) {
-		items = append(items, mbr.news)
+		items = append(items, mbr.update)
 	}
 	for _, mbr := range leastSent(ended, MaxEnded) {
-		items = append(items, Update{ID: mbr.news.ID, Status: Dead, Ended: true})
+		items = append(items, Update{ID: mbr.update.ID, Status: Dead, Ended: true})
 	}
 	return items
 }
 
-// leastSent returns the members whose updates were sent the fewest times, and counts them
-// as sent.
+// leastSent returns the members whose updates were sent the fewest times, and counts these
+// updates as sent once more.
 func leastSent(list []*Member, most int) []*Member {
 	slices.SortFunc(list, func(x, y *Member) int {
 		if x.sends != y.sends {
--- a/pkg/oplog/registry.go
+++ b/pkg/oplog/registry.go
@@ -77,13 +77,13 @@
 }
 
 // Doc returns the checked document.
-func (hld DocVersion) Doc() *svcdoc.Document { return hld.doc }
+func (dcv DocVersion) Doc() *svcdoc.Document { return dcv.doc }
 
 // Text returns the document as its owner wrote it.
-func (hld DocVersion) Text() string { return hld.text }
+func (dcv DocVersion) Text() string { return dcv.text }
 
 // Revision returns the offset of the offer that introduced the document.
-func (hld DocVersion) Revision() int64 { return hld.revision }
+func (dcv DocVersion) Revision() int64 { return dcv.revision }
 
 // Registry is the replicated state machine over the documents' stream. The zero value has
 // read nothing and expects offset 1. It is not safe for concurrent use; it is owned by the
@@ -121,8 +121,8 @@
 
 // Current returns the document in force of a service.
 func (reg *Registry) Current(service string) (DocVersion, bool) {
-	hld, ok := reg.docs[service]
-	return hld, ok
+	dcv, ok := reg.docs[service]
+	return dcv, ok
 }
 
 // All returns a copy of all documents in force, by service.
@@ -198,8 +198,8 @@
 	reg.marker = rec.Offset
 }
 
-// StateRequested reports whether a state request is unanswered: no manifest or reset has followed
-// it.
+// StateRequested reports whether a state request is unanswered: no manifest or reset has
+// followed it.
 func (reg *Registry) StateRequested() bool { return reg.Ready() && reg.stateRequest > reg.marker }
 
 func (reg *Registry) applyOffer(rec Record, ent Entry) []Decision {
@@ -236,18 +236,18 @@
 // applySnapshot records that a document was appended again, so that the next append is not
 // due too soon. A snapshot of an older revision has no effect.
 func (reg *Registry) applySnapshot(rec Record, ent Entry) {
-	hld, ok := reg.docs[ent.Service]
-	if ok && hld.revision == ent.Revision {
-		hld.seenAt = rec.At
-		reg.docs[ent.Service] = hld
+	dcv, ok := reg.docs[ent.Service]
+	if ok && dcv.revision == ent.Revision {
+		dcv.seenAt = rec.At
+		reg.docs[ent.Service] = dcv
 	}
 }
 
-func (reg *Registry) put(service string, hld DocVersion) {
+func (reg *Registry) put(service string, dcv DocVersion) {
 	if reg.docs == nil {
 		reg.docs = map[string]DocVersion{}
 	}
-	reg.docs[service] = hld
+	reg.docs[service] = dcv
 }
 
 func (reg *Registry) record(dec Decision) {
--- a/pkg/oplog/registry_test.go
+++ b/pkg/oplog/registry_test.go
@@ -71,14 +71,14 @@
 	log = append(log, Record{Offset: 1, At: 1, Body: first.Encode()})
 	readers := []*Registry{{}, {}, {}}
 	for i := range rapid.IntRange(5, 60).Draw(t, "records") {
-		rdr := readers[rapid.IntRange(0, 2).Draw(t, "reader")]
-		if upto := rapid.IntRange(int(rdr.Applied()), len(log)).Draw(t, "upto"); upto > int(rdr.Applied()) {
-			rdr.Apply(log[rdr.Applied():upto])
+		reg := readers[rapid.IntRange(0, 2).Draw(t, "reader")]
+		if upto := rapid.IntRange(int(reg.Applied()), len(log)).Draw(t, "upto"); upto > int(reg.Applied()) {
+			reg.Apply(log[reg.Applied():upto])
 		}
 		var ents []Entry
 		switch rapid.IntRange(0, 9).Draw(t, "what") {
 		case 0, 1:
-			ents = rdr.Snapshot(clock.Milli(len(log)))
+			ents = reg.Snapshot(clock.Milli(len(log)))
 		case 2:
 			ents = []Entry{{Kind: KindStateRequest}}
 			wanted = append(wanted, int64(len(log)+1))
@@ -89,9 +89,9 @@
 			}
 		default:
 			service := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "service")
-			hld, _ := rdr.Current(service)
+			dcv, _ := reg.Current(service)
 			id := fmt.Sprintf("o%d", rapid.IntRange(0, i).Draw(t, "id"))
-			ents = []Entry{{Kind: KindOffer, ID: id, Service: service, Base: hld.Revision(), Text: text(service, id), By: "op"}}
+			ents = []Entry{{Kind: KindOffer, ID: id, Service: service, Base: dcv.Revision(), Text: text(service, id), By: "op"}}
 		}
 		for _, ent := range ents {
 			log = append(log, Record{Offset: int64(len(log) + 1), At: clock.Milli(len(log) + 1), Body: ent.Encode()})
@@ -155,10 +155,10 @@
 			if reg.Applied() < applied {
 				t.Fatalf("applied fell from %d to %d", applied, reg.Applied())
 			}
-			for service, hld := range held {
+			for service, dcv := range held {
 				now, ok := reg.Current(service)
-				if !ok && !resets || ok && now.Revision() < hld.Revision() {
-					t.Fatalf("%s reverted from %d to %d", service, hld.Revision(), now.Revision())
+				if !ok && !resets || ok && now.Revision() < dcv.Revision() {
+					t.Fatalf("%s reverted from %d to %d", service, dcv.Revision(), now.Revision())
 				}
 			}
 		}
--- a/pkg/oplog/snapshot.go
+++ b/pkg/oplog/snapshot.go
@@ -26,7 +26,7 @@
 // Restart makes the registry start over at the oldest offset that the log still has,
 // because its next record has been trimmed. The documents in force stay until a usable
 // manifest has been read: an instance with outdated documents knows that it lags (see
-// Ready), whereas one without documents would refuse every service as unknown.
+// [Registry.Ready]), whereas one without documents would refuse every service as unknown.
 func (reg *Registry) Restart(start int64) {
 	if start <= reg.Next() {
 		return
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// PendingStateRequest returns the offset of the last unanswered state request during a restart; zero if
-// there is none.
+// PendingStateRequest returns the offset of the last unanswered state request during a
+// restart; zero if there is none.
 func (reg *Registry) PendingStateRequest() int64 {
 	if reg.boot == nil || reg.boot.stateRequest <= reg.boot.marker {
 		return 0
@@ -99,9 +99,9 @@
 	reg.load(st)
 	reg.manifestAt = rec.At
 	var decided []Decision
-	for _, old := range bst.records {
-		if old.Offset > reg.applied {
-			decided = append(decided, reg.step(old)...)
+	for _, buffered := range bst.records {
+		if buffered.Offset > reg.applied {
+			decided = append(decided, reg.step(buffered)...)
 		}
 	}
 	return decided
@@ -130,8 +130,8 @@
 		return State{}, false
 	}
 	st = State{Applied: reg.applied, Tail: reg.recentIDs(), Marker: reg.marker}
-	for service, hld := range reg.docs {
-		st.Docs = append(st.Docs, StateDoc{Service: service, Revision: hld.revision, Text: hld.text, SeenAt: hld.seenAt})
+	for service, dcv := range reg.docs {
+		st.Docs = append(st.Docs, StateDoc{Service: service, Revision: dcv.revision, Text: dcv.text, SeenAt: dcv.seenAt})
 	}
 	return st, true
 }
@@ -183,10 +183,10 @@
 	}
 	var ents []Entry
 	revisions := map[string]int64{}
-	for service, hld := range reg.docs {
-		revisions[service] = hld.revision
-		if hld.seenAt < olderThan {
-			ents = append(ents, Entry{Kind: KindSnapshot, Service: service, Revision: hld.revision, Text: hld.text})
+	for service, dcv := range reg.docs {
+		revisions[service] = dcv.revision
+		if dcv.seenAt < olderThan {
+			ents = append(ents, Entry{Kind: KindSnapshot, Service: service, Revision: dcv.revision, Text: dcv.text})
 		}
 	}
 	slices.SortFunc(ents, func(x, y Entry) int { return int(x.Revision - y.Revision) })
--- a/pkg/outcm/outcm.go
+++ b/pkg/outcm/outcm.go
@@ -131,15 +131,15 @@
 // IsRefusal reports whether nothing ran.
 func (res Result) IsRefusal() bool { return res.outcome == NotRun }
 
-// QualifyRefusal limits a refusal of a non-idempotent request to what is known. "not_run" applies to
-// the request and not to this attempt: an instance that has not looked up the key can't
-// know whether an earlier attempt, sent to another instance, ran. Unless the caller
-// declares that the key was never sent before (first) or the key was looked up in the log
-// (looked), a refusal becomes unknown. Otherwise a caller that repeats a timed-out booking
-// at an overloaded instance is answered "not run", books by telephone and has two crews in
-// one block.
-func (res Result) QualifyRefusal(first, looked bool) Result {
-	if res.outcome != NotRun || first || looked {
+// QualifyRefusal limits a refusal of a non-idempotent request to what is known. "not_run"
+// applies to the request and not to this attempt: an instance that has not looked up the
+// key can't know whether an earlier attempt, sent to another instance, ran. Unless the
+// caller declares that the key was never sent before (first) or the key was looked up in
+// the log (lookedUp), a refusal becomes unknown. Otherwise a caller that repeats a timed-out
+// booking at an overloaded instance would be answered "not run", book by telephone and have
+// two crews in one block.
+func (res Result) QualifyRefusal(first, lookedUp bool) Result {
+	if res.outcome != NotRun || first || lookedUp {
 		return res
 	}
 	res.outcome = Unknown
--- a/pkg/place/cache.go
+++ b/pkg/place/cache.go
@@ -4,7 +4,7 @@
 
 const (
 	// maxCachedParts bounds the parts remembered per engine, at some 50 B each. An engine's memory
-	// holds some hundred: parts of thousands of tokens in a few hundred thousand.
+	// of a few hundred thousand tokens holds some hundred parts of thousands of tokens each.
 	maxCachedParts = 1024
 	// cacheShare is the share of an engine's memory that holds prefixes; the rest holds the
 	// requests in progress. Engines evict the least recently used parts, so a part counts as cached
--- a/pkg/place/measure.go
+++ b/pkg/place/measure.go
@@ -19,8 +19,8 @@
 	// is tried again.
 	slownessWeight   = 0.2
 	slownessHalfLife = 15000.0
-	// minSlowRatio and maxSlowRatio clip a single measurement: anything beyond is chance, or a
-	// fault that shows as failures.
+	// minSlowRatio and maxSlowRatio clip a single measurement: values beyond them are outliers, or
+	// come from a fault that also causes failures.
 	minSlowRatio = 0.5
 	maxSlowRatio = 8.0
 	// frequencyHalfLife is the half-life of the count of recent events in milliseconds.
--- a/pkg/place/pick.go
+++ b/pkg/place/pick.go
@@ -23,7 +23,8 @@
 	pauseCost       = 600.0
 	maxRelativeSize = 4.0
 	// pauseMargin times the maximum gap is the longest mean pause that a prompt may cause. With
-	// 0.75 long prompts found no engine that they could disrupt, and were late themselves.
+	// 0.75 there was often no engine at which a long prompt stayed within the bound, and long
+	// prompts were late themselves.
 	pauseMargin = 0.9
 	// disruptionFactor weights the pauses that a stream may expect at an engine. A stream at an
 	// engine that reads long prompts would be late, and would also leave the next long prompt
@@ -61,11 +62,12 @@
 // Placement is the placement of a prompt.
 type Placement struct {
 	Engine Engine
-	// FetchAddr is the address of another engine from which cached parts of the prompt may be fetched;
-	// empty if there is none.
+	// FetchAddr is the address of another engine from which cached parts of the prompt may be
+	// fetched; empty if there is none.
 	FetchAddr string
-	// Inputs of the choice: the time until the engine starts to read the prompt, the time to read
-	// it, the requests at the engine, and the prompt's tokens that it has cached.
+	// Wait is the time until the engine starts to read the prompt, Read the time to read it,
+	// Streams the number of requests at the engine, and CachedTokens the number of the prompt's
+	// tokens that it has cached. The choice depends on them.
 	Wait         clock.Milli
 	Read         clock.Milli
 	Streams      int
@@ -186,7 +188,7 @@
 	return gap > 0 && plc.pauses.at(prm.InTokens, 0)*eng.slow.current(now) > pauseMargin*float64(gap)
 }
 
-// readTime returns the time in which an engine reads so many tokens.
+// readTime returns the time in which an engine reads a number of tokens.
 func (plc *Placer) readTime(eng *engine, tokens int, now clock.Milli) float64 {
 	return eng.slow.current(now) * plc.firstEvent.at(tokens, defaultFixedMs+defaultMsPerToken*float64(tokens))
 }
--- a/pkg/place/place.go
+++ b/pkg/place/place.go
@@ -23,7 +23,7 @@
 	streamMsWeight  = 0.05
 	// sizeWeight is the weight of a new request in the mean size.
 	sizeWeight = 0.01
-	// runTTL is how long after its start a request counts if no end is recorded: the message of its
+	// runTTL is how long a request without a recorded end is counted: the message that reports the
 	// end was lost, or its sender crashed.
 	runTTL = 30 * clock.Second
 )
@@ -52,7 +52,7 @@
 	// them.
 	readTokens int
 	readMs     float64
-	// streaming is set once its first event came.
+	// streaming is set by its first event.
 	streaming bool
 	// uncontended is set while no other prompt was waiting or being read at the engine since it was
 	// sent there.
@@ -261,7 +261,8 @@
 	}
 }
 
-// ReportLoad records the load that an engine reports: its running and waiting requests, of all instances.
+// ReportLoad records the load that an engine reports: the running and waiting requests of all
+// instances.
 func (plc *Placer) ReportLoad(id string, load int, now clock.Milli) {
 	if eng, ok := plc.byID[id]; ok {
 		eng.foreignRuns, eng.reportedAt = max(0, float64(load-len(eng.runs))), now
--- a/pkg/place/prompt.go
+++ b/pkg/place/prompt.go
@@ -12,7 +12,7 @@
 type Prompt struct {
 	// Parts are in order; the last one is the request's own, the others may be shared.
 	Parts []Part `cbor:"1,keyasint,omitempty"`
-	// InTokens is the number of tokens to read, Out the limit of tokens to generate.
+	// InTokens is the number of tokens to read, MaxOutTokens the limit of tokens to generate.
 	InTokens     int `cbor:"2,keyasint,omitempty"`
 	MaxOutTokens int `cbor:"3,keyasint,omitempty"`
 }
--- a/pkg/plan/draft.go
+++ b/pkg/plan/draft.go
@@ -31,7 +31,7 @@
 	// Kind is the name of a [Kind].
 	Kind    string
 	Timeout clock.Milli
-	// TargetLatency is the target latency, Gap the maximum gap between events of a stream.
+	// TargetLatency is the target latency, MaxEventGap the maximum gap between events of a stream.
 	TargetLatency clock.Milli
 	MaxEventGap   clock.Milli
 	Priority      int
@@ -79,7 +79,7 @@
 	Item float64
 	// ResultBytes is the capacity of an endpoint for results, in bytes.
 	ResultBytes int64
-	// ResultTTL is the TTL of a result that is not released.
+	// ResultTTL is how long an endpoint stores a result that is not released.
 	ResultTTL clock.Milli
 	// Link is the bandwidth for fetching results in Mbit/s; zero if unknown.
 	Link float64
--- a/pkg/poison/doc.go
+++ b/pkg/poison/doc.go
@@ -2,14 +2,14 @@
 //
 // A request may crash every endpoint that starts to run it (a poison message, or query of death).
 // Its caller retries it under a new request ID and at any instance, so that it can be recognised
-// only by its [Fingerprint], a fingerprint of its target, caller and body.
+// only by its [Fingerprint], a hash of its host, target, caller and body.
 //
 // # Suspicion
 //
-// When an endpoint crashes, all requests in flight there are suspected: the crash is recorded as
-// an [Crash] for each of them. Crashes are facts that are shared by gossip (package gossip), so that
-// they count whichever instance observed them. A request that an endpoint completes is cleared of
-// all crashes known by then.
+// When an endpoint crashes, all requests in flight there are suspected: a [Crash] is recorded for
+// each of them. Crashes are shared as facts by gossip (package gossip), so that they count
+// whichever instance observed them. A request that an endpoint completes is cleared of all crashes
+// known by then.
 //
 // # Quarantine
 //
--- a/pkg/poison/list.go
+++ b/pkg/poison/list.go
@@ -45,7 +45,7 @@
 
 // List is an immutable index of crashes by request. A nil list is empty.
 type List struct {
-	byMark map[Fingerprint][]Crash
+	byFingerprint map[Fingerprint][]Crash
 }
 
 // Bounds returns the bounds of crash facts. Facts on requests with more crashes are evicted last:
@@ -53,21 +53,21 @@
 // requests that are present at crashes.
 func Bounds(list func() *List) gossip.Bounds {
 	return gossip.Bounds{Retention: crashRetention, MaxFacts: maxCrashes, Weight: func(key string) int {
-		mrk, _, _ := parseKey(key)
-		return len(list().Crashes(mrk))
+		fpr, _, _ := parseKey(key)
+		return len(list().Crashes(fpr))
 	}}
 }
 
 // Key returns the fact key of the crash of an endpoint with a request in flight.
-func Key(mrk Fingerprint, endpoint ident.Process) string {
-	return mrk.String() + "/" + string(endpoint)
+func Key(fpr Fingerprint, endpoint ident.Process) string {
+	return fpr.String() + "/" + string(endpoint)
 }
 
 // parseKey parses a key made by [Key].
-func parseKey(key string) (mrk Fingerprint, endpoint ident.Process, ok bool) {
+func parseKey(key string) (fpr Fingerprint, endpoint ident.Process, ok bool) {
 	name, rest, ok := strings.Cut(key, "/")
 	raw, err := hex.DecodeString(name)
-	if !ok || err != nil || len(raw) != markBytes {
+	if !ok || err != nil || len(raw) != fingerprintBytes {
 		return Fingerprint{}, "", false
 	}
 	return Fingerprint(raw), ident.Process(rest), true
@@ -75,14 +75,14 @@
 
 // Read builds a list from crash facts. Malformed keys and cleared crashes are skipped.
 func Read(facts []gossip.Fact, now clock.Milli) *List {
-	lst := &List{byMark: map[Fingerprint][]Crash{}}
+	lst := &List{byFingerprint: map[Fingerprint][]Crash{}}
 	for _, fct := range facts {
-		if mrk, endpoint, ok := parseKey(fct.Key); ok && fct.Value != Cleared {
-			lst.byMark[mrk] = append(lst.byMark[mrk], Crash{Endpoint: endpoint, By: fct.Value, At: now - fct.Age})
+		if fpr, endpoint, ok := parseKey(fct.Key); ok && fct.Value != Cleared {
+			lst.byFingerprint[fpr] = append(lst.byFingerprint[fpr], Crash{Endpoint: endpoint, By: fct.Value, At: now - fct.Age})
 		}
 	}
-	for _, ends := range lst.byMark {
-		slices.SortFunc(ends, func(x, y Crash) int {
+	for _, crashes := range lst.byFingerprint {
+		slices.SortFunc(crashes, func(x, y Crash) int {
 			return cmp.Or(cmp.Compare(x.At, y.At), strings.Compare(string(x.Endpoint), string(y.Endpoint)))
 		})
 	}
@@ -90,45 +90,45 @@
 }
 
 // Empty reports whether no request is suspected.
-func (lst *List) Empty() bool { return lst == nil || len(lst.byMark) == 0 }
+func (lst *List) Empty() bool { return lst == nil || len(lst.byFingerprint) == 0 }
 
 // Crashes returns the crashes of a request, the oldest first.
-func (lst *List) Crashes(mrk Fingerprint) []Crash {
+func (lst *List) Crashes(fpr Fingerprint) []Crash {
 	if lst == nil {
 		return nil
 	}
-	return lst.byMark[mrk]
+	return lst.byFingerprint[fpr]
 }
 
-// Quarantined returns the rest of a request's quarantine; zero if it is not quarantined.
-func (lst *List) Quarantined(mrk Fingerprint, now clock.Milli) clock.Milli {
-	if !lst.OnTrial(mrk) {
+// Quarantined returns the remaining time of a request's quarantine; zero if it is not quarantined.
+func (lst *List) Quarantined(fpr Fingerprint, now clock.Milli) clock.Milli {
+	if !lst.OnTrial(fpr) {
 		return 0
 	}
-	ends := lst.Crashes(mrk)
+	crashes := lst.Crashes(fpr)
 	span := firstQuarantine
-	for range len(ends) - crashesAllowed - 1 {
+	for range len(crashes) - crashesAllowed - 1 {
 		span = min(quarantineFactor*span, crashRetention)
 	}
-	return max(ends[len(ends)-1].At+span-now, 0)
+	return max(crashes[len(crashes)-1].At+span-now, 0)
 }
 
 // OnTrial reports whether a request has so many crashes that it is admitted only after its
 // quarantine, and one attempt at a time.
-func (lst *List) OnTrial(mrk Fingerprint) bool { return len(lst.Crashes(mrk)) > crashesAllowed }
+func (lst *List) OnTrial(fpr Fingerprint) bool { return len(lst.Crashes(fpr)) > crashesAllowed }
 
-// QuarantineFacts returns the facts that quarantine requests, or will do so after the next trial: the
-// last each facts of a request, for at most marks requests.
-func QuarantineFacts(facts []gossip.Fact, lst *List, marks, each int) []gossip.Fact {
+// QuarantineFacts returns the facts that quarantine requests, or will do so after the next trial:
+// for at most the given number of requests, the last each facts of a request.
+func QuarantineFacts(facts []gossip.Fact, lst *List, requests, each int) []gossip.Fact {
 	var list []gossip.Fact
 	wanted := map[string]bool{}
-	for mrk, ends := range lst.all() {
-		if !lst.OnTrial(mrk) || marks == 0 {
+	for fpr, crashes := range lst.all() {
+		if !lst.OnTrial(fpr) || requests == 0 {
 			continue
 		}
-		marks--
-		for _, end := range ends[max(len(ends)-each, 0):] {
-			wanted[Key(mrk, end.Endpoint)] = true
+		requests--
+		for _, crs := range crashes[max(len(crashes)-each, 0):] {
+			wanted[Key(fpr, crs.Endpoint)] = true
 		}
 	}
 	for _, fct := range facts {
@@ -145,31 +145,32 @@
 		if lst == nil {
 			return
 		}
-		for _, mrk := range slices.SortedFunc(maps.Keys(lst.byMark), func(x, y Fingerprint) int { return bytes.Compare(x[:], y[:]) }) {
-			if !yield(mrk, lst.byMark[mrk]) {
+		for _, fpr := range slices.SortedFunc(maps.Keys(lst.byFingerprint), func(x, y Fingerprint) int { return bytes.Compare(x[:], y[:]) }) {
+			if !yield(fpr, lst.byFingerprint[fpr]) {
 				return
 			}
 		}
 	}
 }
 
-// NewlyQuarantined returns the requests that are quarantined now but not according to an earlier list.
+// NewlyQuarantined returns the requests that are quarantined now but not according to an earlier
+// list.
 func (lst *List) NewlyQuarantined(before *List, now clock.Milli) []Fingerprint {
-	var marks []Fingerprint
-	for mrk := range lst.all() {
-		if lst.Quarantined(mrk, now) > 0 && before.Quarantined(mrk, now) == 0 {
-			marks = append(marks, mrk)
+	var prints []Fingerprint
+	for fpr := range lst.all() {
+		if lst.Quarantined(fpr, now) > 0 && before.Quarantined(fpr, now) == 0 {
+			prints = append(prints, fpr)
 		}
 	}
-	return marks
+	return prints
 }
 
 // Clear marks the crashes of a request as cleared in a table and returns the changed facts, which
-// the caller passes on. A request that an endpoint has completed is not the cause of crashes.
-func Clear(tbl *gossip.Table, lst *List, mrk Fingerprint, now clock.Milli) []gossip.Fact {
+// the caller disseminates. A request that an endpoint has completed is not the cause of crashes.
+func Clear(tbl *gossip.Table, lst *List, fpr Fingerprint, now clock.Milli) []gossip.Fact {
 	var fresh []gossip.Fact
-	for _, end := range lst.Crashes(mrk) {
-		if fct, ok := tbl.Set(gossip.EndedUnder, Key(mrk, end.Endpoint), Cleared, now); ok {
+	for _, crs := range lst.Crashes(fpr) {
+		if fct, ok := tbl.Set(gossip.EndedUnder, Key(fpr, crs.Endpoint), Cleared, now); ok {
 			fresh = append(fresh, fct)
 		}
 	}
--- a/pkg/poison/list_test.go
+++ b/pkg/poison/list_test.go
@@ -29,13 +29,13 @@
 	obs.lst = Read(obs.tbl.All(gossip.EndedUnder, now), now)
 }
 
-func (obs *observer) crash(mrk Fingerprint, endpoint string, now clock.Milli) {
-	obs.tbl.Set(gossip.EndedUnder, Key(mrk, ident.Process(endpoint)), "10.0.0.1:7300", now)
+func (obs *observer) crash(fpr Fingerprint, endpoint string, now clock.Milli) {
+	obs.tbl.Set(gossip.EndedUnder, Key(fpr, ident.Process(endpoint)), "10.0.0.1:7300", now)
 	obs.refresh(now)
 }
 
-func (obs *observer) clear(mrk Fingerprint, now clock.Milli) {
-	Clear(&obs.tbl, obs.lst, mrk, now)
+func (obs *observer) clear(fpr Fingerprint, now clock.Milli) {
+	Clear(&obs.tbl, obs.lst, fpr, now)
 	obs.refresh(now)
 }
 
@@ -60,15 +60,15 @@
 func TestKeysSurviveEncoding(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		gom := gomega.NewWithT(t)
-		mrk := FingerprintOf("", "", "", rapid.SliceOf(rapid.Byte()).Draw(rt, "body"))
+		fpr := FingerprintOf("", "", "", rapid.SliceOf(rapid.Byte()).Draw(rt, "body"))
 		endpoint := ident.Process(rapid.String().Draw(rt, "endpoint"))
-		body, err := cbor.Marshal(gossip.Fact{Key: Key(mrk, endpoint)})
+		body, err := cbor.Marshal(gossip.Fact{Key: Key(fpr, endpoint)})
 		gom.Expect(err).NotTo(gomega.HaveOccurred())
 		var fct gossip.Fact
 		gom.Expect(cbor.Unmarshal(body, &fct)).To(gomega.Succeed())
 		gotMark, gotEndpoint, ok := parseKey(fct.Key)
 		gom.Expect(ok).To(gomega.BeTrue())
-		gom.Expect(gotMark).To(gomega.Equal(mrk))
+		gom.Expect(gotMark).To(gomega.Equal(fpr))
 		gom.Expect(gotEndpoint).To(gomega.Equal(endpoint))
 	})
 }
--- a/pkg/poison/size_test.go
+++ b/pkg/poison/size_test.go
@@ -37,7 +37,7 @@
 	at clock.Milli
 	// by is the sender, which observes the crash if it still runs.
 	by *observer
-	// calm is set if the sender was neither cut off nor restarted.
+	// calm is set if the sender was neither partitioned nor restarted.
 	calm    bool
 	crashed bool
 }
--- a/pkg/retry/retry.go
+++ b/pkg/retry/retry.go
@@ -60,8 +60,8 @@
 // capacity.
 func (bnd Bounds) Idle() bool { return bnd.idle }
 
-// BoundsFor returns the bounds of a service that favours low cost, or else attainment of its
-// targets. With a stage that fails half of its calls, favouring attainment costs a few
+// BoundsFor returns the bounds of a service that favours low cost, or else attainment of
+// its targets. With a stage that fails half of its calls, favouring attainment costs a few
 // per cent more endpoint time, see docs/MEASUREMENTS.md.
 func BoundsFor(weighsCost bool) Bounds {
 	if weighsCost {
@@ -117,7 +117,7 @@
 
 // Backoff returns a retry-after delay with exponential backoff: base, doubled with each
 // earlier refusal up to 32 times base. Jitter over the upper half keeps callers that
-// were refused together from returning together.
+// were refused together from retrying together.
 func Backoff(base clock.Milli, earlier int, rng *rand.Rand) clock.Milli {
 	span := base << min(max(earlier, 0), 5)
 	if span < 2 {
@@ -127,7 +127,7 @@
 }
 
 // Jittered returns a retry-after delay with jitter, from base to twice base, so that
-// callers that were refused together don't return together.
+// callers that were refused together don't retry together.
 func Jittered(base clock.Milli) clock.Milli {
 	return Backoff(2*base, 0, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 }
--- a/pkg/route/entries.go
+++ b/pkg/route/entries.go
@@ -25,29 +25,29 @@
 // caller's data centre come first. The last entry is in another data centre if there is
 // one, since a data centre may fail as a whole.
 func Entries(cands []Entry, zone string, rng *rand.Rand) []Entry {
-	near, far := split(cands, zone)
-	if len(near) == 0 {
-		near, far = far, nil
+	local, remote := split(cands, zone)
+	if len(local) == 0 {
+		local, remote = remote, nil
 	}
-	first := draw(&near, rng)
-	picked := slices.Concat(first, draw(&near, rng))
+	first := draw(&local, rng)
+	picked := slices.Concat(first, draw(&local, rng))
 	picked = picked[:min(len(picked), maxEntries-1)]
-	if other := draw(&far, rng); len(other) > 0 {
+	if other := draw(&remote, rng); len(other) > 0 {
 		return append(picked, other...)
 	}
-	return append(picked, draw(&near, rng)...)
+	return append(picked, draw(&local, rng)...)
 }
 
 // split separates the candidates in a zone from the others; an empty zone includes all.
-func split(cands []Entry, zone string) (near, far []Entry) {
+func split(cands []Entry, zone string) (local, remote []Entry) {
 	for _, ent := range cands {
 		if zone == "" || ent.Zone == zone {
-			near = append(near, ent)
+			local = append(local, ent)
 		} else {
-			far = append(far, ent)
+			remote = append(remote, ent)
 		}
 	}
-	return near, far
+	return local, remote
 }
 
 // draw removes the less loaded of two random candidates from the list and returns it.
--- a/pkg/route/learn.go
+++ b/pkg/route/learn.go
@@ -23,7 +23,7 @@
 )
 
 // Finish records the end of an attempt that [Pool.Pick] started.
-func (pl *Pool) Finish(id string, ver Outcome, took, now clock.Milli) {
+func (pl *Pool) Finish(id string, out Outcome, took, now clock.Milli) {
 	pr, ok := pl.byID[id]
 	if !ok {
 		return
@@ -31,7 +31,7 @@
 	pr.inFlight--
 	probe := pr.probing
 	pr.probing = false
-	switch ver {
+	switch out {
 	case Success:
 		pl.onSuccess(pr, took, now, probe)
 	case Overload:
@@ -92,7 +92,7 @@
 	return pr.latency > slowFactor*pl.median()
 }
 
-// median returns the lower median of the latencies measured, without endpoints that are leaving.
+// median returns the lower median of the measured latencies of endpoints that are not leaving.
 func (pl *Pool) median() float64 {
 	var all []float64
 	for _, pr := range pl.peers {
@@ -108,7 +108,7 @@
 }
 
 // Report records the load that an endpoint reports: the requests of all instances
-// that are queued or running there at the instant at. A report that is not newer than
+// that were queued or running there at the given time. A report that is not newer than
 // the last one is ignored.
 func (pl *Pool) Report(id string, load float64, at clock.Milli) {
 	pr, ok := pl.byID[id]
@@ -130,8 +130,8 @@
 	return true
 }
 
-// Evicted records that an endpoint evicted a prefix from its cache. These events are
-// late and may be lost, so a prefix without one may be gone as well.
+// Evicted records that an endpoint evicted a prefix from its cache. Eviction events are
+// late and may be lost, so a prefix without one may have been evicted as well.
 func (pl *Pool) Evicted(id string, prefix uint64) {
 	if pr, ok := pl.byID[id]; ok {
 		delete(pr.prefixes, prefix)
--- a/pkg/route/route_test.go
+++ b/pkg/route/route_test.go
@@ -50,8 +50,8 @@
 				pl.Report(id, rapid.Float64Range(0, 50).Draw(t, "load"), now)
 			case 3:
 				if len(busy) > 0 {
-					ver := Outcome(rapid.IntRange(int(Success), int(Cancelled)).Draw(t, "verdict"))
-					pl.Finish(busy[0], ver, clock.Milli(rapid.IntRange(0, 5000).Draw(t, "took")), now)
+					out := Outcome(rapid.IntRange(int(Success), int(Cancelled)).Draw(t, "verdict"))
+					pl.Finish(busy[0], out, clock.Milli(rapid.IntRange(0, 5000).Draw(t, "took")), now)
 					busy = busy[1:]
 				}
 			default:
--- a/pkg/svcdoc/doc.go
+++ b/pkg/svcdoc/doc.go
@@ -10,9 +10,8 @@
 //
 // A stage names a pool of endpoints. Stages of the kinds encode, retrieve, rerank and
 // generate have no side effects and may be run again. A stage of kind "call" calls a plain
-// service; it is non-idempotent unless the document declares otherwise, because running it
-// once too often books two crews into one block, whereas running it once too seldom is
-// noticed and corrected.
+// service; it is non-idempotent unless the document declares otherwise: a second run books
+// two crews into one block, whereas a missing run is noticed and corrected.
 //
 // A stage takes the result of the stage before it, or those of the earlier stages that it
 // lists; a stage with an empty list takes the caller's input and runs in parallel to
--- a/pkg/svcdoc/svcdoc.go
+++ b/pkg/svcdoc/svcdoc.go
@@ -20,8 +20,8 @@
 	Call                 // call
 )
 
-// Weighs is the measure that the owner of a service prioritizes where both can't be
-// met.
+// Weighs is the measure that the owner of a service prioritizes where attainment of the
+// targets and low cost can't both be had.
 type Weighs int
 
 // The measures.
@@ -118,8 +118,8 @@
 // is ordered.
 func (stg Stage) Model() string { return stg.raw.Model }
 
-// Estimate returns the owner's initial estimate of the stage's service time, used until it has
-// been measured.
+// Estimate returns the owner's initial estimate of the stage's service time, used until it
+// has been measured.
 func (stg Stage) Estimate() clock.Milli { return clock.Milli(stg.raw.NeedMs) }
 
 // NonIdempotent reports whether the stage must not run twice for one request.
@@ -169,8 +169,8 @@
 // empty, the workspace is not authenticated.
 func (wsp Workspace) TokenHash() string { return wsp.raw.TokenSha256 }
 
-// Parse parses and checks a document. The document is nil if and only if the list has
-// failed; warnings are returned along with a document.
+// Parse parses and checks a document. The document is nil if and only if the list contains
+// an error; warnings are returned along with a document.
 func Parse(text []byte) (*Document, *tomlx.Faults) {
 	doc := &Document{}
 	fts := tomlx.Decode(text, &doc.raw)
