--- a/internal/feed/append.go
+++ b/internal/feed/append.go
@@ -58,7 +58,7 @@
 	Cancelled func() bool
 }
 
-// NewAppender returns an appender to a stream. Its records are appended by Run.
+// NewAppender returns an appender to a stream. Its records are appended by [Appender.Run].
 func NewAppender(set Setup, stream string) *Appender {
 	return &Appender{set: set, stream: stream, wake: make(chan struct{}, 1)}
 }
--- a/internal/serve/router.go
+++ b/internal/serve/router.go
@@ -11,13 +11,13 @@
 	"amaranthvalve/internal/wire"
 )
 
-// shutdownNever keeps go-zero's signal handler from ending the process: on SIGTERM it sleeps for this
-// long before it would.
+// shutdownNever keeps go-zero's signal handler from ending the process: after SIGTERM the handler
+// sleeps for this long before it exits.
 const shutdownNever = 1000 * time.Hour
 
-// NewRouter builds go-zero's router without its middlewares: each of them can refuse a request (by load,
-// breaker, time or size) with a response of its own, and one buffers responses, so that a stream's
-// tokens would arrive all at once.
+// NewRouter builds go-zero's router without its middlewares: each of them can refuse a request (by
+// load, breaker, time or size) with a response of its own, and one buffers responses, so that a
+// stream's tokens would arrive all at once.
 func NewRouter(routes []rest.Route) (http.Handler, error) {
 	srv, err := rest.NewServer(rest.RestConf{
 		ServiceConf: service.ServiceConf{
--- a/pkg/graph/graph_test.go
+++ b/pkg/graph/graph_test.go
@@ -105,32 +105,32 @@
 			skipped[stg] = rapid.IntRange(0, 4).Draw(t, "skipped") == 0
 			return skipped[stg]
 		})
-		over, given := map[int]bool{}, map[int]bool{}
-		var under []int
+		finished, released := map[int]bool{}, map[int]bool{}
+		var running []int
 		for !run.Over() {
 			for _, stg := range run.Start(func(int) clock.Milli { return clock.Milli(rapid.IntRange(0, 500).Draw(t, "span")) }) {
 				for _, pre := range after[stg] {
-					if !over[pre] && !skipped[pre] {
+					if !finished[pre] && !skipped[pre] {
 						t.Fatalf("stage %d started before stage %d was done", stg, pre)
 					}
 				}
-				under = append(under, stg)
+				running = append(running, stg)
 			}
-			if len(under) == 0 {
+			if len(running) == 0 {
 				t.Fatalf("no stage is running and the run is not finished")
 			}
-			i := rapid.IntRange(0, len(under)-1).Draw(t, "ends")
-			stg := under[i]
-			under = slices.Delete(under, i, i+1)
-			if over[stg] {
+			i := rapid.IntRange(0, len(running)-1).Draw(t, "ends")
+			stg := running[i]
+			running = slices.Delete(running, i, i+1)
+			if finished[stg] {
 				t.Fatalf("stage %d started twice", stg)
 			}
-			over[stg] = true
+			finished[stg] = true
 			for _, pre := range run.Done(stg) {
-				if given[pre] || gr.IsLeaf(pre) {
+				if released[pre] || gr.IsLeaf(pre) {
 					t.Fatalf("results of stage %d were released twice or are taken by the final call", pre)
 				}
-				given[pre] = true
+				released[pre] = true
 			}
 		}
 	})
--- a/pkg/oplog/registry_test.go
+++ b/pkg/oplog/registry_test.go
@@ -66,7 +66,7 @@
 // including lagging ones, appended from any earlier state.
 func history(t *rapid.T) []Record {
 	var log []Record
-	var wanted []int64
+	var requests []int64
 	first := Entry{Kind: KindOffer, ID: "first", Service: "a", Text: text("a", "first")}
 	log = append(log, Record{Offset: 1, At: 1, Body: first.Encode()})
 	readers := []*Registry{{}, {}, {}}
@@ -81,11 +81,11 @@
 			ents = reg.Snapshot(clock.Milli(len(log)))
 		case 2:
 			ents = []Entry{{Kind: KindStateRequest}}
-			wanted = append(wanted, int64(len(log)+1))
+			requests = append(requests, int64(len(log)+1))
 		case 3:
 			// A reset may be late or repeated.
-			if len(wanted) > 0 {
-				ents = []Entry{{Kind: KindReset, AsOf: rapid.SampledFrom(wanted).Draw(t, "as of")}}
+			if len(requests) > 0 {
+				ents = []Entry{{Kind: KindReset, AsOf: rapid.SampledFrom(requests).Draw(t, "as of")}}
 			}
 		default:
 			service := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "service")
--- a/pkg/retry/retry.go
+++ b/pkg/retry/retry.go
@@ -63,8 +63,8 @@
 // BoundsFor returns the bounds of a service that favours low cost, or else attainment of
 // its targets. With a stage that fails half of its calls, favouring attainment costs a few
 // per cent more endpoint time, see docs/MEASUREMENTS.md.
-func BoundsFor(weighsCost bool) Bounds {
-	if weighsCost {
+func BoundsFor(favourCost bool) Bounds {
+	if favourCost {
 		return Bounds{attempts: 3}
 	}
 	return Bounds{attempts: 5, idle: true}
--- a/pkg/svcdoc/doc.go
+++ b/pkg/svcdoc/doc.go
@@ -22,7 +22,7 @@
 //
 // [Parse] reports all faults with path and line, see package tomlx. A document with faults
 // is never accepted: the command, the instance that receives it and the state machine over
-// the log all call the same function, so that no instance can hold a document that another
-// one refuses. Warnings report what is legal but probably wrong; they do not prevent
-// acceptance.
+// the log all call the same function, so that no instance can have a document in force that
+// another one refuses. Warnings report what is valid but probably not intended; they do not
+// prevent acceptance.
 package svcdoc
