--- a/pkg/graph/graph.go
+++ b/pkg/graph/graph.go
@@ -43,7 +43,7 @@
 		}
 	}
 	if len(gr.topo) < len(after) {
-		return Graph{}, fmt.Errorf("%d stages depend on one another in a circle", len(after)-len(gr.topo))
+		return Graph{}, fmt.Errorf("%d stages depend on one another in a cycle", len(after)-len(gr.topo))
 	}
 	return gr, nil
 }
@@ -71,8 +71,8 @@
 	return last
 }
 
-// PathTimes returns for each stage the time of the longest path from its start to the final call; span
-// gives the time of one stage.
+// PathTimes returns for each stage the time of the longest path from its start to the final call;
+// span gives the time of one stage.
 func (gr Graph) PathTimes(span func(stg int) clock.Milli) []clock.Milli {
 	times := make([]clock.Milli, len(gr.after))
 	for _, stg := range slices.Backward(gr.topo) {
--- a/pkg/oplog/registry_test.go
+++ b/pkg/oplog/registry_test.go
@@ -66,32 +66,32 @@
 // including lagging ones, appended from any earlier state.
 func history(t *rapid.T) []Record {
 	var log []Record
-	var wanted []int64
+	var requests []int64
 	first := Entry{Kind: KindOffer, ID: "first", Service: "a", Text: text("a", "first")}
 	log = append(log, Record{Offset: 1, At: 1, Body: first.Encode()})
 	readers := []*Registry{{}, {}, {}}
 	for i := range rapid.IntRange(5, 60).Draw(t, "records") {
-		rdr := readers[rapid.IntRange(0, 2).Draw(t, "reader")]
-		if upto := rapid.IntRange(int(rdr.Applied()), len(log)).Draw(t, "upto"); upto > int(rdr.Applied()) {
-			rdr.Apply(log[rdr.Applied():upto])
+		reg := readers[rapid.IntRange(0, 2).Draw(t, "reader")]
+		if upto := rapid.IntRange(int(reg.Applied()), len(log)).Draw(t, "upto"); upto > int(reg.Applied()) {
+			reg.Apply(log[reg.Applied():upto])
 		}
 		var ents []Entry
 		switch rapid.IntRange(0, 9).Draw(t, "what") {
 		case 0, 1:
-			ents = rdr.Snapshot(clock.Milli(len(log)))
+			ents = reg.Snapshot(clock.Milli(len(log)))
 		case 2:
 			ents = []Entry{{Kind: KindStateRequest}}
-			wanted = append(wanted, int64(len(log)+1))
+			requests = append(requests, int64(len(log)+1))
 		case 3:
 			// A reset may be late or repeated.
-			if len(wanted) > 0 {
-				ents = []Entry{{Kind: KindReset, AsOf: rapid.SampledFrom(wanted).Draw(t, "as of")}}
+			if len(requests) > 0 {
+				ents = []Entry{{Kind: KindReset, AsOf: rapid.SampledFrom(requests).Draw(t, "as of")}}
 			}
 		default:
 			service := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "service")
-			hld, _ := rdr.Current(service)
+			dcv, _ := reg.Current(service)
 			id := fmt.Sprintf("o%d", rapid.IntRange(0, i).Draw(t, "id"))
-			ents = []Entry{{Kind: KindOffer, ID: id, Service: service, Base: hld.Revision(), Text: text(service, id), By: "op"}}
+			ents = []Entry{{Kind: KindOffer, ID: id, Service: service, Base: dcv.Revision(), Text: text(service, id), By: "op"}}
 		}
 		for _, ent := range ents {
 			log = append(log, Record{Offset: int64(len(log) + 1), At: clock.Milli(len(log) + 1), Body: ent.Encode()})
@@ -137,7 +137,7 @@
 		var reg, other Registry
 		resets := hasReset(log)
 		for range rapid.IntRange(1, 20).Draw(t, "feeds") {
-			applied, held := reg.Applied(), reg.All()
+			applied, before := reg.Applied(), reg.All()
 			from := rapid.IntRange(0, len(log)-1).Draw(t, "from")
 			upto := rapid.IntRange(from, len(log)).Draw(t, "upto")
 			switch rapid.IntRange(0, 3).Draw(t, "how") {
@@ -155,10 +155,10 @@
 			if reg.Applied() < applied {
 				t.Fatalf("applied fell from %d to %d", applied, reg.Applied())
 			}
-			for service, hld := range held {
+			for service, dcv := range before {
 				now, ok := reg.Current(service)
-				if !ok && !resets || ok && now.Revision() < hld.Revision() {
-					t.Fatalf("%s reverted from %d to %d", service, hld.Revision(), now.Revision())
+				if !ok && !resets || ok && now.Revision() < dcv.Revision() {
+					t.Fatalf("%s reverted from %d to %d", service, dcv.Revision(), now.Revision())
 				}
 			}
 		}
--- a/pkg/svcdoc/doc.go
+++ b/pkg/svcdoc/doc.go
@@ -10,9 +10,8 @@
 //
 // A stage names a pool of endpoints. Stages of the kinds encode, retrieve, rerank and
 // generate have no side effects and may be run again. A stage of kind "call" calls a plain
-// service; it is non-idempotent unless the document declares otherwise, because running it
-// once too often books two crews into one block, whereas running it once too seldom is
-// noticed and corrected.
+// service; it is non-idempotent unless the document declares otherwise: a second run books
+// two crews into one block, whereas a missing run is noticed and corrected.
 //
 // A stage takes the result of the stage before it, or those of the earlier stages that it
 // lists; a stage with an empty list takes the caller's input and runs in parallel to
@@ -23,7 +22,7 @@
 //
 // [Parse] reports all faults with path and line, see package tomlx. A document with faults
 // is never accepted: the command, the instance that receives it and the state machine over
-// the log all call the same function, so that no instance can hold a document that another
-// one refuses. Warnings report what is legal but probably wrong; they do not prevent
-// acceptance.
+// the log all call the same function, so that no instance can have a document in force that
+// another one refuses. Warnings report what is valid but probably not intended; they do not
+// prevent acceptance.
 package svcdoc
