--- a/internal/batch/pool.go
+++ b/internal/batch/pool.go
@@ -74,8 +74,8 @@
 	pol.mtx.Lock()
 	defer pol.mtx.Unlock()
 	pol.rates.Sync(rates)
-	pol.sched.Set(gather.Spec{Slots: spc.Slots, MaxItems: spc.MaxItems, BatchMs: spc.Call, ItemMs: spc.Item, Capacity: spc.ResultBytes, TTL: spc.ResultTTL})
-	pol.linkMbps, pol.resultStorage, pol.resultTTL, pol.endpoints = spc.Link, spc.ResultBytes, spc.ResultTTL, endpoints
+	pol.sched.SetSpec(gather.Spec{Slots: spc.Slots, MaxItems: spc.MaxItems, BatchMs: spc.BatchMs, ItemMs: spc.ItemMs, Capacity: spc.ResultBytes, TTL: spc.ResultTTL})
+	pol.linkMbps, pol.resultStorage, pol.resultTTL, pol.endpoints = spc.LinkMbps, spc.ResultBytes, spc.ResultTTL, endpoints
 	pol.sched.Sync(endpoints)
 	for _, ep := range endpoints {
 		pol.inFlight.RunListed(ident.Process(ep.ID))
@@ -111,7 +111,7 @@
 	}
 	pol.dispatchWithin(coalesceDelay, now)
 	if pol.takesOver(now) {
-		pol.sched.Begin(now)
+		pol.sched.StartTerm(now)
 		go pol.pollStorage(now)
 	}
 	pol.mtx.Unlock()
@@ -246,7 +246,7 @@
 	for i, itm := range bat.Items {
 		ref := pol.refs[itm.ID]
 		items[i] = proto.Item{
-			Request: ref.ord.Request, Stage: ref.ord.Stage, Index: ref.index, Left: max(itm.Expires-now, 1),
+			Request: ref.ord.Request, Stage: ref.ord.Stage, Index: ref.index, Remaining: max(itm.Expires-now, 1),
 			Key: ref.ord.Key, Inputs: ref.ord.Inputs,
 		}
 	}
@@ -268,7 +268,7 @@
 			stored = append(stored, gather.Result{Handle: out.Handle, Bytes: itm.Bytes})
 		}
 	}
-	pol.sched.Ended(bat.ID, verdict(err), stored, pol.set.Clock.Now())
+	pol.sched.End(bat.ID, verdict(err), stored, pol.set.Clock.Now())
 	for i, itm := range bat.Items {
 		switch {
 		case err == nil:
@@ -281,7 +281,7 @@
 	}
 }
 
-func verdict(err error) gather.Verdict {
+func verdict(err error) gather.BatchOutcome {
 	switch {
 	case err == nil:
 		return gather.Answered
@@ -403,7 +403,7 @@
 	// The storage is available only now: a call made before the endpoint's answer would be refused
 	// for lack of it.
 	for _, name := range list {
-		pol.sched.Free(name)
+		pol.sched.Release(name)
 	}
 	pol.dispatch()
 }
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -68,7 +68,7 @@
 	for _, addr := range cli.lookupAddrs() {
 		ent, err := cli.lookup(ctx, addr, service)
 		if err == nil && len(ent.Entries) > 0 {
-			cli.known, cli.knownUntil = ent.Entries, cli.clk.Now()+ent.KeepMs
+			cli.known, cli.knownUntil = ent.Entries, cli.clk.Now()+ent.TTLMs
 			return ent, nil
 		}
 		if err == nil {
--- a/internal/contr/control.go
+++ b/internal/contr/control.go
@@ -30,7 +30,7 @@
 	Zone         string
 	CallerAddr   string
 	Peers        []string
-	Fresh        clock.Milli
+	MaxLogAge    clock.Milli
 	LogRetention clock.Milli
 	Clock        clock.Clock
 	Platform     *platf.Client
@@ -166,8 +166,8 @@
 	return ctl.loop.Do(ctx, event)
 }
 
-// Left is called by the request path when an endpoint reports that it is leaving.
-func (ctl *Control) Left(pool, id string) {
+// ReportLeaving is called by the request path when an endpoint reports that it is leaving.
+func (ctl *Control) ReportLeaving(pool, id string) {
 	ctl.loop.Offer(func(now clock.Milli) { ctl.endpts.noteLeaving(pool+"/"+id, now) })
 }
 
@@ -180,8 +180,8 @@
 	})
 }
 
-// Refuse makes the instance refuse new work from now on.
-func (ctl *Control) Refuse() { ctl.stopping.Store(true) }
+// RefuseNewWork makes the instance refuse new work from now on.
+func (ctl *Control) RefuseNewWork() { ctl.stopping.Store(true) }
 
 // Stopping reports whether new work is refused because of a planned shutdown.
 func (ctl *Control) Stopping() bool { return ctl.stopping.Load() }
--- a/internal/contr/docs.go
+++ b/internal/contr/docs.go
@@ -139,7 +139,7 @@
 	if !dct.known {
 		return 0, "no document state has been loaded yet"
 	}
-	until = max(dct.logAsOf, dct.majoritySince(now)) + dct.ctl.set.Fresh
+	until = max(dct.logAsOf, dct.majoritySince(now)) + dct.ctl.set.MaxLogAge
 	switch {
 	case now <= until:
 		return until, ""
@@ -288,5 +288,5 @@
 // is in contact neither with the log nor with a majority refuses new work after the maximum log
 // age, so that one not seen for longer no longer uses any document.
 func (dct *docsCtl) behind(offset int64, now clock.Milli) []ident.Incarnation {
-	return dct.ctl.members.list.Lagging(offset, dct.ctl.set.Fresh+member.Period, now)
+	return dct.ctl.members.list.Lagging(offset, dct.ctl.set.MaxLogAge+member.Period, now)
 }
--- a/internal/contr/docs_test.go
+++ b/internal/contr/docs_test.go
@@ -20,7 +20,7 @@
 	gom := gomega.NewWithT(t)
 	var clk clock.Fake
 	clk.Set(10_000)
-	ctl := New(Setup{Self: "a:1#1", Zone: "dc1", Fresh: 3 * clock.Second, Clock: clk.Clock(), Meter: meter.New(), Log: zerolog.Nop()})
+	ctl := New(Setup{Self: "a:1#1", Zone: "dc1", MaxLogAge: 3 * clock.Second, Clock: clk.Clock(), Meter: meter.New(), Log: zerolog.Nop()})
 	ctl.docs.known = true
 	ctl.docs.logAsOf = clk.Clock().Now()
 	other := ident.Incarnation("b:1#1")
--- a/internal/contr/endpts.go
+++ b/internal/contr/endpts.go
@@ -198,7 +198,7 @@
 			}
 			ect.ctl.set.Runner.Report(inst.Pool, inst.ID, rep)
 			if rep.Leaving {
-				ect.ctl.Left(inst.Pool, inst.ID)
+				ect.ctl.ReportLeaving(inst.Pool, inst.ID)
 			}
 		}()
 	}
--- a/internal/contr/status.go
+++ b/internal/contr/status.go
@@ -19,7 +19,7 @@
 			switch {
 			case std.Leaving:
 				state = "leaving"
-			case std.Benched:
+			case std.Ejected:
 				state = "benched"
 			}
 			list = append(list, wire.StatusEndpoint{
--- a/internal/coord/coord_test.go
+++ b/internal/coord/coord_test.go
@@ -31,7 +31,7 @@
 		return []proto.ItemResult{{Handle: "h"}}, proto.ReplyMeta{}, nil
 	}}
 	btr := batch.New(batch.Setup{Dialect: dia, Meter: meter.New(), Log: zerolog.Nop(), Reserve: 10, Window: 10 * clock.Second})
-	pln, _ := plan.Compile(plan.Draft{Pools: []plan.DraftPool{{Name: "encode", Batch: &plan.DraftBatch{Slots: 1, MaxItems: 9, Call: 20}}}})
+	pln, _ := plan.Compile(plan.Draft{Pools: []plan.DraftPool{{Name: "encode", Batch: &plan.DraftBatch{Slots: 1, MaxItems: 9, BatchMs: 20}}}})
 	btr.Sync(pln, []proto.Endpoint{{ID: "e1", Pool: "encode", Addr: "a:1"}}, nil)
 	self := ident.NewIncarnation("127.0.0.1:1")
 	crd := New(Setup{
@@ -76,7 +76,7 @@
 // next prompt about a document at the engine that has prefilled the document.
 func TestNewCoordinatorQueriesCaches(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	pln, _ := plan.Compile(plan.Draft{Pools: []plan.DraftPool{{Name: "models", Engine: &plan.DraftEngine{Places: 8}}}})
+	pln, _ := plan.Compile(plan.Draft{Pools: []plan.DraftPool{{Name: "models", Engine: &plan.DraftEngine{Slots: 8}}}})
 	var eps []proto.Endpoint
 	for i := range 6 {
 		eps = append(eps, proto.Endpoint{ID: ident.Process(fmt.Sprint("e", i)), Pool: "models", Addr: "a"})
--- a/internal/entry/bounds_test.go
+++ b/internal/entry/bounds_test.go
@@ -107,7 +107,7 @@
 		ops := "http://" + wld.nodes[0].OpsAddr()
 		status, _ := httpGet(ops + "/v1/ready")
 		expect(status).To(equal(http.StatusOK))
-		wld.nodes[0].ctl.Refuse()
+		wld.nodes[0].ctl.RefuseNewWork()
 		status, text := httpGet(ops + "/v1/ready")
 		expect(status).To(equal(http.StatusServiceUnavailable))
 		expect(text).To(gomega.ContainSubstring("stopping"))
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -37,7 +37,7 @@
 	}
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	list := nod.ctl.Entries(req.URL.Query().Get("zone"), rng)
-	wire.WriteJSON(wrt, http.StatusOK, wire.Entries{Entries: list, KeepMs: nod.set.EntryTTL()})
+	wire.WriteJSON(wrt, http.StatusOK, wire.Entries{Entries: list, TTLMs: nod.set.EntryTTL()})
 }
 
 // submit runs a caller's request through the filter chain.
@@ -55,8 +55,8 @@
 	}
 	out := &output{wrt: wrt, ctl: http.NewResponseController(wrt)}
 	if cl.Submit.Stream {
-		cl.Opened = func(resume string) { out.open(wire.Open{RequestID: cl.RequestID(), Resume: resume}) }
-		cl.Take = out.token
+		cl.OnOpen = func(resume string) { out.open(wire.Open{RequestID: cl.RequestID(), Resume: resume}) }
+		cl.OnToken = out.token
 	}
 	res := nod.chn.Serve(req.Context(), cl)
 	nod.logRefusal(cl, res)
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -104,10 +104,10 @@
 			addr = nod.set.PeerAdvertise()
 		}
 	}
-	nod.rnr = stage.New(nod.clk, nod.set.Zone(), nod.mtr, func(pool, id string) { nod.ctl.Left(pool, id) })
+	nod.rnr = stage.New(nod.clk, nod.set.Zone(), nod.mtr, func(pool, id string) { nod.ctl.ReportLeaving(pool, id) })
 	nod.ctl = contr.New(contr.Setup{
 		Self: ident.NewIncarnation(addr), Zone: nod.set.Zone(), CallerAddr: nod.callerLsn.Addr().String(),
-		Peers: nod.set.Peers(), Fresh: nod.set.MaxLogAge(), LogRetention: nod.set.LogRetention(), Clock: nod.clk,
+		Peers: nod.set.Peers(), MaxLogAge: nod.set.MaxLogAge(), LogRetention: nod.set.LogRetention(), Clock: nod.clk,
 		Platform: platf.New(nod.set.Platform()), Runner: nod.rnr, Meter: nod.mtr, Log: nod.log, Link: nod.link,
 	})
 	nod.chn = filter.New(filter.Setup{
@@ -169,7 +169,7 @@
 	case <-time.After(ttl.Duration()):
 	case <-ctx.Done():
 	}
-	nod.ctl.Refuse()
+	nod.ctl.RefuseNewWork()
 	nod.log.Info().Msg("refusing new requests, finishing requests in flight")
 	// Shutdown waits for requests in flight, including streams, and closes
 	// idle connections.
--- a/internal/entry/refusals_test.go
+++ b/internal/entry/refusals_test.go
@@ -121,7 +121,7 @@
 		until(10*time.Second, wld.nodes[0].isReady)
 	}},
 	{reason: "stopping", send: func(wld *world) wire.Answer {
-		wld.nodes[0].ctl.Refuse()
+		wld.nodes[0].ctl.RefuseNewWork()
 		return wld.call(0, "planning", wire.Submit{Input: "x"})
 	}},
 }
--- a/internal/filter/filter.go
+++ b/internal/filter/filter.go
@@ -24,10 +24,10 @@
 	Workspace string
 	Token     string
 	Submit    wire.Submit
-	// Opened is called when a stream starts, Take with each of its tokens. Both are nil if the
+	// OnOpen is called when a stream starts, Take with each of its tokens. Both are nil if the
 	// caller requests a single complete answer.
-	Opened func(resume string)
-	Take   func(wire.Token) error
+	OnOpen  func(resume string)
+	OnToken func(wire.Token) error
 
 	arrivedAt clock.Milli
 	requestID string
--- a/internal/filter/run.go
+++ b/internal/filter/run.go
@@ -12,14 +12,14 @@
 	job := &stage.Job{
 		RequestID: cl.requestID, Workspace: cl.wsp, Doc: cl.doc, Kind: cl.kind,
 		Input: cl.Submit.Input, Deadline: cl.deadline, MaxTokens: cl.Submit.MaxTokens, Stream: cl.stream,
-		OnToken: cl.Take,
+		OnToken: cl.OnToken,
 	}
 	if cl.Submit.Resume != nil {
 		job.Have = cl.Submit.Resume.Have
 	}
-	if cl.Opened != nil {
+	if cl.OnOpen != nil {
 		job.OnOpen = func(ref stage.StreamRef) {
-			cl.Opened(chn.sealer.seal(token{RequestID: cl.requestID, Digest: cl.digest(), Stream: ref}))
+			cl.OnOpen(chn.sealer.seal(token{RequestID: cl.requestID, Digest: cl.digest(), Stream: ref}))
 		}
 	}
 	return job
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -25,11 +25,11 @@
 // Setup has the parameters of a fleet.
 type Setup struct {
 	Count int
-	// Lost is the fraction of messages that links lose.
-	Lost float64
-	Seed uint64
-	// Begin is called for each instance that starts, to set the bounds of its facts.
-	Begin func(ins *Instance)
+	// LossRate is the fraction of messages that links lose.
+	LossRate float64
+	Seed     uint64
+	// OnStart is called for each instance that starts, to set the bounds of its facts.
+	OnStart func(ins *Instance)
 }
 
 // Instance is a simulated instance.
@@ -42,8 +42,8 @@
 	sent        int
 }
 
-// Who returns the instance's incarnation.
-func (ins *Instance) Who() ident.Incarnation { return ins.id }
+// ID returns the instance's incarnation.
+func (ins *Instance) ID() ident.Incarnation { return ins.id }
 
 // List returns the instance's list of members.
 func (ins *Instance) List() *member.List { return ins.list }
@@ -77,8 +77,8 @@
 // Instances returns the running instances.
 func (flt *Fleet) Instances() []*Instance { return flt.insts }
 
-// Any returns a random running instance.
-func (flt *Fleet) Any() *Instance { return flt.insts[flt.rng.IntN(len(flt.insts))] }
+// Random returns a random running instance.
+func (flt *Fleet) Random() *Instance { return flt.insts[flt.rng.IntN(len(flt.insts))] }
 
 // Find returns the running instance with the given incarnation, or nil.
 func (flt *Fleet) Find(id ident.Incarnation) *Instance { return flt.byID[id] }
@@ -86,7 +86,7 @@
 func (flt *Fleet) start(i int) *Instance {
 	id := ident.Incarnation(fmt.Sprintf("10.0.%d.%d:1#%d", i/250, i%250, flt.boots))
 	ins := &Instance{id: id, list: member.New(id, "dc1", "", flt.now), stableSince: flt.now}
-	flt.set.Begin(ins)
+	flt.set.OnStart(ins)
 	return ins
 }
 
@@ -125,24 +125,24 @@
 	}
 }
 
-// Cut partitions an instance from all others, or ends its partition.
-func (flt *Fleet) Cut(ins *Instance, cut bool) {
+// SetPartitioned partitions an instance from all others, or ends its partition.
+func (flt *Fleet) SetPartitioned(ins *Instance, cut bool) {
 	if ins.partitioned != cut {
 		ins.partitioned, ins.stableSince = cut, flt.now
 	}
 }
 
-// IsCalm reports whether an instance is not partitioned, and neither started nor changed that
+// IsSteady reports whether an instance is not partitioned, and neither started nor changed that
 // within the given time.
-func (flt *Fleet) IsCalm(ins *Instance, within clock.Milli) bool {
+func (flt *Fleet) IsSteady(ins *Instance, within clock.Milli) bool {
 	return !ins.partitioned && flt.now-ins.stableSince >= within
 }
 
-// Reaches counts a message as sent and reports whether it arrives. The receiver is nil if it no
+// Send counts a message as sent and reports whether it arrives. The receiver is nil if it no
 // longer runs.
-func (flt *Fleet) Reaches(from, to *Instance) bool {
+func (flt *Fleet) Send(from, to *Instance) bool {
 	from.sent++
-	return to != nil && !from.partitioned && !to.partitioned && flt.rng.Float64() >= flt.set.Lost
+	return to != nil && !from.partitioned && !to.partitioned && flt.rng.Float64() >= flt.set.LossRate
 }
 
 // Run advances the fake time by a span; each is called after every step and may be nil.
@@ -178,7 +178,7 @@
 		}
 	}
 	for _, msg := range all {
-		if to := flt.byID[msg.to]; flt.Reaches(msg.from, to) {
+		if to := flt.byID[msg.to]; flt.Send(msg.from, to) {
 			to.spread.Receive(msg.facts, to.list.IsMesh(), flt.now)
 		}
 	}
@@ -193,18 +193,18 @@
 		ins.list.MarkReplaced(id, flt.now)
 		return
 	}
-	if !flt.Reaches(ins, oth) {
+	if !flt.Send(ins, oth) {
 		return
 	}
 	oth.list.Merge(ins.list.Updates(oth.id), flt.now)
 	answer, digest := oth.spread.Delta(ins.spread.Digest(), flt.now), oth.spread.Digest()
-	if !flt.Reaches(oth, ins) {
+	if !flt.Send(oth, ins) {
 		return
 	}
 	ins.list.Merge(oth.list.Updates(ins.id), flt.now)
 	ins.list.Ack(oth.id, flt.now)
 	ins.spread.Receive(answer, ins.list.IsMesh(), flt.now)
-	if more := ins.spread.Delta(digest, flt.now); len(more) > 0 && flt.Reaches(ins, oth) {
+	if more := ins.spread.Delta(digest, flt.now); len(more) > 0 && flt.Send(ins, oth) {
 		oth.spread.Receive(more, oth.list.IsMesh(), flt.now)
 	}
 }
--- a/internal/front/final.go
+++ b/internal/front/final.go
@@ -170,7 +170,7 @@
 	var cgd cancelGuard
 	timer := run.cancelIfSlow(actx, &cgd, cancel)
 	rsp, end := fr.set.Relay.Do(actx, tgt.Addr, rqs, proto.SendMeta{
-		Endpoint: tgt.ID, Workspace: cl.wsp, Left: cl.deadline - began, Priority: cl.rank, Inputs: cl.inputs, Fetch: tgt.FetchFrom, LastEvent: run.lastEvent,
+		Endpoint: tgt.ID, Workspace: cl.wsp, Remaining: cl.deadline - began, Priority: cl.rank, Inputs: cl.inputs, Fetch: tgt.FetchFrom, LastEvent: run.lastEvent,
 	})
 	timer.Stop()
 	slow := cgd.settle()
@@ -195,7 +195,7 @@
 		cl.firstByte = took
 		return run.forward(ctx, tgt, rsp, began)
 	}
-	run.release(tgt, end.Verdict(slow), took)
+	run.release(tgt, end.RouteOutcome(slow), took)
 	if end == ending.Cut {
 		fr.checkCrash(cl, tgt)
 	}
@@ -323,7 +323,7 @@
 // bodyFailed ends an attempt whose response body broke off.
 func (run *finalRun) bodyFailed(ctx context.Context, tgt coord.Placement, took clock.Milli) (outcm.Result, bool) {
 	end := ending.Broken(ctx)
-	run.release(tgt, end.Verdict(false), took)
+	run.release(tgt, end.RouteOutcome(false), took)
 	if end == ending.Cut {
 		run.fr.checkCrash(run.cl, tgt)
 	}
--- a/internal/front/match.go
+++ b/internal/front/match.go
@@ -62,8 +62,8 @@
 // setDeadlines sets the deadline, the due time and the rank of the request.
 func (fr *Front) setDeadlines(cl *call) {
 	span := maxRequestTime
-	if cl.ask.Left > 0 {
-		span = min(span, cl.ask.Left)
+	if cl.ask.Remaining > 0 {
+		span = min(span, cl.ask.Remaining)
 	}
 	if tmo := cl.route.Timeout(); tmo > 0 {
 		span = min(span, tmo)
--- a/internal/front/results_test.go
+++ b/internal/front/results_test.go
@@ -15,9 +15,9 @@
 func chainedCall(t *testing.T) *call {
 	pln, faults := plan.Compile(plan.Draft{
 		Pools: []plan.DraftPool{
-			{Name: "encode", Batch: &plan.DraftBatch{Slots: 1, MaxItems: 12, Call: 240, Item: 17, ResultBytes: 14_000_000}},
-			{Name: "search", Batch: &plan.DraftBatch{Slots: 1, MaxItems: 34, Call: 240, Item: 6, ResultBytes: 3_700_000}},
-			{Name: "model", Engine: &plan.DraftEngine{Places: 48}},
+			{Name: "encode", Batch: &plan.DraftBatch{Slots: 1, MaxItems: 12, BatchMs: 240, ItemMs: 17, ResultBytes: 14_000_000}},
+			{Name: "search", Batch: &plan.DraftBatch{Slots: 1, MaxItems: 34, BatchMs: 240, ItemMs: 6, ResultBytes: 3_700_000}},
+			{Name: "model", Engine: &plan.DraftEngine{Slots: 48}},
 		},
 		Routes: []plan.DraftRoute{{
 			Name: "ask", Host: "h", Prefix: "/", Kind: "streaming", TargetLatency: 2300, Timeout: 20000,
--- a/internal/front/stages.go
+++ b/internal/front/stages.go
@@ -77,7 +77,7 @@
 		return 0
 	}
 	batches := (n + spc.MaxItems - 1) / spc.MaxItems
-	return clock.Milli(spc.Call + spc.Item*float64(min(n, spc.MaxItems)) + spc.Call*float64(batches-1))
+	return clock.Milli(spc.BatchMs + spc.ItemMs*float64(min(n, spc.MaxItems)) + spc.BatchMs*float64(batches-1))
 }
 
 // admit chooses the final pool, and refuses at once requests that can't be answered before their
@@ -99,7 +99,7 @@
 	now := fr.set.Clock.Now()
 	tms := admit.Budget{Estimate: fr.firstByteEstimate(cl), ToDeadline: cl.deadline - now, ToTarget: cl.due - now, Contended: fr.contended(cl)}
 	switch tms.Judge() {
-	case admit.Hopeless:
+	case admit.MissesDeadline:
 		return outcm.Refuse(outcm.Hopeless, fr.retryAfter(tms.Excess()), fmt.Sprintf("%d ms are needed and %d left", tms.Estimate, tms.ToDeadline))
 	case admit.ShedLate:
 		return outcm.Refuse(outcm.Crowded, fr.retryAfter(tms.Excess()), fmt.Sprintf("%d ms are needed and %d left to be in time", tms.Estimate, tms.ToTarget))
@@ -180,17 +180,17 @@
 func (fr *Front) runStages(ctx context.Context, cl *call) outcm.Result {
 	run := cl.route.Graph().Run(func(stg int) bool { return cl.itemCount(stg) == 0 })
 	refusal := outcm.Result{}
-	walk.All(ctx, run, walk.Steps[stageOut]{
-		Span: func(stg int) clock.Milli { return fr.stageEstimate(cl, stg) },
-		Begin: func(stg int) func(context.Context) stageOut {
+	walk.Run(ctx, run, walk.Callbacks[stageOut]{
+		Estimate: func(stg int) clock.Milli { return fr.stageEstimate(cl, stg) },
+		Start: func(stg int) func(context.Context) stageOut {
 			jb := fr.job(cl, stg, cl.releasedEarly(run.LastInputs(stg)))
 			return func(ctx context.Context) stageOut { return fr.runStage(ctx, cl, jb) }
 		},
-		Ended: func(stg int, out stageOut) walk.Word {
+		OnEnd: func(stg int, out stageOut) walk.Outcome {
 			cl.dropResults(out.released)
 			switch {
 			case out.failure == proto.InputLost && fr.recompute(cl, run, stg):
-				return walk.Undone
+				return walk.Reset
 			case out.failure != proto.NoFailure:
 				refusal = fr.refuseStage(cl, out)
 				return walk.Failed
@@ -200,10 +200,10 @@
 				refusal = fr.refuseQuarantined(cl)
 				return walk.Failed
 			}
-			return walk.Made
+			return walk.Done
 		},
-		Unused: func(stg int) { fr.releaseResults(cl, stg) },
-		Left: func(_ int, out stageOut) {
+		OnUnused: func(stg int) { fr.releaseResults(cl, stg) },
+		OnCancelled: func(_ int, out stageOut) {
 			cl.dropResults(out.released)
 			cl.addResults(out)
 		},
@@ -329,7 +329,7 @@
 		if spc == nil {
 			continue
 		}
-		full := spc.Call + spc.Item*float64(spc.MaxItems)
+		full := spc.BatchMs + spc.ItemMs*float64(spc.MaxItems)
 		if float64(fr.coord.EstimateWait(stg.Pool)) > contendedShare*full {
 			return true
 		}
--- a/internal/model/engine.go
+++ b/internal/model/engine.go
@@ -13,15 +13,15 @@
 	// the number of tokens in a stream event.
 	ChunkTokens int
 	EventTokens int
-	// Slow is a factor on the duration of every step.
-	Slow float64
+	// SlowFactor is a factor on the duration of every step.
+	SlowFactor float64
 	// CacheTokens is the capacity of the prefix cache.
 	CacheTokens int
 }
 
 // Dense returns the figures of a model with 70 billion parameters on two accelerators.
 func Dense() Spec {
-	return Spec{StepMs: 4.23, StreamMs: 0.0008, TokensPerMs: 64.2, AttentionMs: 0.647, ChunkTokens: 1024, EventTokens: 5, Slow: 1, CacheTokens: 490_000}
+	return Spec{StepMs: 4.23, StreamMs: 0.0008, TokensPerMs: 64.2, AttentionMs: 0.647, ChunkTokens: 1024, EventTokens: 5, SlowFactor: 1, CacheTokens: 490_000}
 }
 
 // Request is a prompt with the length of its answer.
@@ -31,19 +31,19 @@
 	// Sizes their numbers of tokens.
 	Parts []string
 	Sizes []int
-	// In and Out are the numbers of tokens of the prompt and of the answer.
-	In  int
-	Out int
+	// InTokens and Out are the numbers of tokens of the prompt and of the answer.
+	InTokens  int
+	OutTokens int
 }
 
-// Answer has the times of a request's stream, in milliseconds.
-type Answer struct {
+// Timing has the times of a request's stream, in milliseconds.
+type Timing struct {
 	ID string
-	// First is the time of the first event, End that of the last one, Pause the maximum
+	// FirstEvent is the time of the first event, End that of the last one, Pause the maximum
 	// gap between two events.
-	First float64
-	End   float64
-	Pause float64
+	FirstEvent float64
+	LastEvent  float64
+	MaxGap     float64
 }
 
 // work is the state of a request at an engine.
@@ -53,7 +53,7 @@
 	remaining int
 	generated int
 	lastEvent float64
-	ans       Answer
+	ans       Timing
 }
 
 // Engine is a simulated engine. Use [NewEngine] to create one.
@@ -64,9 +64,9 @@
 	decoding   []*work
 	// cached is the prefix cache, with the most recently used part last.
 	cached []part
-	// First is called at the first event of a stream and Done at its end; either may be nil.
-	First func(ans Answer)
-	Done  func(ans Answer)
+	// OnFirst is called at the first event of a stream and Done at its end; either may be nil.
+	OnFirst func(ans Timing)
+	OnDone  func(ans Timing)
 }
 
 type part struct {
@@ -84,7 +84,7 @@
 	}
 	cached := eng.cachedTokens(req)
 	eng.cache(req)
-	eng.prefilling = append(eng.prefilling, &work{req: req, prefilled: cached, remaining: max(req.In-cached, 1), ans: Answer{ID: req.ID}})
+	eng.prefilling = append(eng.prefilling, &work{req: req, prefilled: cached, remaining: max(req.InTokens-cached, 1), ans: Timing{ID: req.ID}})
 }
 
 // cachedTokens returns the length of the cached prefix of a prompt, in tokens.
@@ -155,7 +155,7 @@
 		reading.remaining -= chunk
 		reading.prefilled += chunk
 	}
-	eng.now += took * max(spc.Slow, 0.01)
+	eng.now += took * max(spc.SlowFactor, 0.01)
 	eng.decode()
 	if reading != nil && reading.remaining == 0 {
 		eng.prefilling = eng.prefilling[1:]
@@ -168,16 +168,16 @@
 	var active []*work
 	for _, wrk := range eng.decoding {
 		wrk.generated++
-		if wrk.generated%eng.spec.EventTokens == 0 || wrk.generated >= wrk.req.Out {
+		if wrk.generated%eng.spec.EventTokens == 0 || wrk.generated >= wrk.req.OutTokens {
 			eng.emit(wrk)
 		}
-		if wrk.generated < wrk.req.Out {
+		if wrk.generated < wrk.req.OutTokens {
 			active = append(active, wrk)
 			continue
 		}
-		wrk.ans.End = eng.now
-		if eng.Done != nil {
-			eng.Done(wrk.ans)
+		wrk.ans.LastEvent = eng.now
+		if eng.OnDone != nil {
+			eng.OnDone(wrk.ans)
 		}
 	}
 	eng.decoding = active
@@ -185,12 +185,12 @@
 
 func (eng *Engine) emit(wrk *work) {
 	if wrk.lastEvent == 0 {
-		wrk.ans.First = eng.now
-		if eng.First != nil {
-			eng.First(wrk.ans)
+		wrk.ans.FirstEvent = eng.now
+		if eng.OnFirst != nil {
+			eng.OnFirst(wrk.ans)
 		}
 	} else {
-		wrk.ans.Pause = max(wrk.ans.Pause, eng.now-wrk.lastEvent)
+		wrk.ans.MaxGap = max(wrk.ans.MaxGap, eng.now-wrk.lastEvent)
 	}
 	wrk.lastEvent = eng.now
 }
--- a/internal/model/engine_test.go
+++ b/internal/model/engine_test.go
@@ -7,10 +7,10 @@
 )
 
 // runAlone runs a request at an idle engine.
-func runAlone(spec Spec, req Request) Answer {
+func runAlone(spec Spec, req Request) Timing {
 	eng := NewEngine(spec)
-	var out Answer
-	eng.Done = func(ans Answer) { out = ans }
+	var out Timing
+	eng.OnDone = func(ans Timing) { out = ans }
 	eng.Add(req, 0)
 	eng.Run(1e6)
 	return out
@@ -21,12 +21,12 @@
 // of a stream.
 func TestFigures(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	short := runAlone(Dense(), Request{ID: "s", In: 826, Out: 290})
-	gom.Expect(short.First).To(gomega.BeNumerically("~", 38, 3))
-	gom.Expect(short.End).To(gomega.BeNumerically("~", 1245, 20))
-	gom.Expect(short.Pause).To(gomega.BeNumerically("~", 21, 1))
-	long := runAlone(Dense(), Request{ID: "l", In: 45000, Out: 5})
-	gom.Expect(long.First).To(gomega.BeNumerically("~", 1570, 40))
+	short := runAlone(Dense(), Request{ID: "s", InTokens: 826, OutTokens: 290})
+	gom.Expect(short.FirstEvent).To(gomega.BeNumerically("~", 38, 3))
+	gom.Expect(short.LastEvent).To(gomega.BeNumerically("~", 1245, 20))
+	gom.Expect(short.MaxGap).To(gomega.BeNumerically("~", 21, 1))
+	long := runAlone(Dense(), Request{ID: "l", InTokens: 45000, OutTokens: 5})
+	gom.Expect(long.FirstEvent).To(gomega.BeNumerically("~", 1570, 40))
 }
 
 // TestPausesBesideLongPrompts checks how the prefill of another prompt slows a running stream:
@@ -35,17 +35,17 @@
 	gom := gomega.NewWithT(t)
 	pause := func(in int) float64 {
 		eng := NewEngine(Dense())
-		var out Answer
-		eng.Done = func(ans Answer) {
+		var out Timing
+		eng.OnDone = func(ans Timing) {
 			if ans.ID == "stream" {
 				out = ans
 			}
 		}
-		eng.Add(Request{ID: "stream", In: 100, Out: 1500}, 0)
+		eng.Add(Request{ID: "stream", InTokens: 100, OutTokens: 1500}, 0)
 		eng.Run(200)
-		eng.Add(Request{ID: "prompt", In: in, Out: 10}, 200)
+		eng.Add(Request{ID: "prompt", InTokens: in, OutTokens: 10}, 200)
 		eng.Run(1e6)
-		return out.Pause
+		return out.MaxGap
 	}
 	gom.Expect(pause(12000)).To(gomega.BeNumerically("~", 125, 15))
 	gom.Expect(pause(45000)).To(gomega.BeNumerically(">", 220))
@@ -59,10 +59,10 @@
 	spec.CacheTokens = 12000
 	eng := NewEngine(spec)
 	firsts := map[string]float64{}
-	eng.First = func(ans Answer) { firsts[ans.ID] = ans.First }
+	eng.OnFirst = func(ans Timing) { firsts[ans.ID] = ans.FirstEvent }
 	at := 0.0
 	send := func(id, prt string) float64 {
-		eng.Add(Request{ID: id, Parts: []string{prt}, Sizes: []int{5000}, In: 5100, Out: 5}, at)
+		eng.Add(Request{ID: id, Parts: []string{prt}, Sizes: []int{5000}, InTokens: 5100, OutTokens: 5}, at)
 		eng.Run(at + 1000)
 		at += 1000
 		return firsts[id] - at + 1000
--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -392,7 +392,7 @@
 	var facts []gossip.Fact
 	for i := range 3 {
 		facts = append(facts, gossip.Fact{
-			Kind: gossip.EndedUnder, Key: poison.Key(fpr, ident.Process(fmt.Sprintf("before-%d", i))), Value: "127.0.0.1:1", Version: 1, Age: ago,
+			Kind: gossip.CrashedUnder, Key: poison.Key(fpr, ident.Process(fmt.Sprintf("before-%d", i))), Value: "127.0.0.1:1", Version: 1, Age: ago,
 		})
 	}
 	for _, nod := range tbd.nodes {
--- a/internal/pools/rates.go
+++ b/internal/pools/rates.go
@@ -42,7 +42,7 @@
 		return "", maxPermitWait
 	}
 	wait = maxPermitWait
-	for _, ep := range pst.plain.Standings() {
+	for _, ep := range pst.plain.EndpointStates() {
 		if !pls.rates.Has(ep.ID) || ep.Leaving {
 			continue
 		}
--- a/internal/proto/proto.go
+++ b/internal/proto/proto.go
@@ -25,8 +25,8 @@
 type RequestMeta struct {
 	// ID identifies the request. The caller sets it, unique to the attempt.
 	ID string
-	// Left is how long the caller will wait, zero if unknown.
-	Left clock.Milli
+	// Remaining is how long the caller will wait, zero if unknown.
+	Remaining clock.Milli
 	// Token authenticates the workspace.
 	Token string
 	// Prompt describes the prompt for a model engine; nil for plain calls.
@@ -43,8 +43,8 @@
 	// Endpoint is the endpoint that must answer; any other process at the address refuses.
 	Endpoint  ident.Process
 	Workspace string
-	// Left is how long the endpoint may take.
-	Left clock.Milli
+	// Remaining is how long the endpoint may take.
+	Remaining clock.Milli
 	// Priority is the rank among the endpoint's requests; below 0 for none.
 	Priority int
 	// Inputs are the handles of the results that the request takes.
@@ -106,8 +106,8 @@
 	Request string
 	Stage   int
 	Index   int
-	// Left is how long the result is of use.
-	Left clock.Milli
+	// Remaining is how long the result is of use.
+	Remaining clock.Milli
 	// Key is the input of an item of a first stage; Inputs are the handles of the results that an
 	// item of a later stage takes.
 	Key    string
@@ -193,10 +193,10 @@
 
 // Store is the client of the store.
 type Store struct {
-	// Newest returns the document in force. Watch waits for records from an offset on, for at most
+	// Document returns the document in force. Watch waits for records from an offset on, for at most
 	// the given time, and reports whether there are any.
-	Newest func(ctx context.Context) (Document, error)
-	Watch  func(ctx context.Context, from int64, wait clock.Milli) (bool, error)
+	Document func(ctx context.Context) (Document, error)
+	Watch    func(ctx context.Context, from int64, wait clock.Milli) (bool, error)
 	// Endpoints lists the endpoints' entries, and an error for each entry that can't be used.
 	// Instances lists the instances' entries, oldest first, together with the record that the
 	// instances share, nil for none.
--- a/internal/shell/call.go
+++ b/internal/shell/call.go
@@ -31,7 +31,7 @@
 	for _, one := range ent.Entries {
 		con.printf("%s %s\n", one.Addr, one.Zone)
 	}
-	con.printf("keep for %d ms\n", ent.KeepMs)
+	con.printf("keep for %d ms\n", ent.TTLMs)
 	return nil
 }
 
--- a/internal/stage/job.go
+++ b/internal/stage/job.go
@@ -107,22 +107,22 @@
 	outs := make([]string, count)
 	job.times = make(map[int]wire.StageTime, count)
 	failed := outcm.Result{}
-	ok := walk.All(ctx, job.Doc.Graph().Run(func(int) bool { return false }), walk.Steps[stageEnd]{
-		Span: job.stageTimes(rnr.meanTime),
-		Begin: func(stg int) func(context.Context) stageEnd {
+	ok := walk.Run(ctx, job.Doc.Graph().Run(func(int) bool { return false }), walk.Callbacks[stageEnd]{
+		Estimate: job.stageTimes(rnr.meanTime),
+		Start: func(stg int) func(context.Context) stageEnd {
 			inputs := job.inputs(stg, outs)
 			return func(ctx context.Context) stageEnd { return rnr.runTimed(ctx, job, stg, inputs) }
 		},
-		Ended: func(stg int, end stageEnd) walk.Word {
+		OnEnd: func(stg int, end stageEnd) walk.Outcome {
 			job.times[stg] = end.time
 			if end.res.Outcome() != outcm.Pending {
 				failed = end.res
 				return walk.Failed
 			}
 			outs[stg] = end.out
-			return walk.Made
+			return walk.Done
 		},
-		Left: func(stg int, end stageEnd) { job.times[stg] = end.time },
+		OnCancelled: func(stg int, end stageEnd) { job.times[stg] = end.time },
 	})
 	if !ok {
 		return "", job.result(failed)
@@ -174,7 +174,7 @@
 	att := &attempt{
 		rnr: rnr, job: job, stg: stg, index: i, inputs: inputs,
 		pl: rnr.pool(stg.Pool()), last: i == job.Doc.Stages()-1,
-		bounds: retry.BoundsFor(job.Doc.Weighs() == svcdoc.Cost),
+		bounds: retry.BoundsFor(job.Doc.Objective() == svcdoc.Cost),
 	}
 	att.pl.recordFirst()
 	if stg.Kind() == svcdoc.Generate {
@@ -218,7 +218,7 @@
 	if tokens > 0 {
 		took /= clock.Milli(tokens)
 	}
-	att.pl.finish(ep.ID, end.Verdict(att.timedOut), took, now)
+	att.pl.finish(ep.ID, end.RouteOutcome(att.timedOut), took, now)
 	if load, ok := rep.Load(); ok {
 		att.rnr.Report(att.stg.Pool(), ep.ID, wire.Load{Load: load, Leaving: rep.Leaving()})
 	}
--- a/internal/stage/runner.go
+++ b/internal/stage/runner.go
@@ -131,11 +131,11 @@
 }
 
 // Standings lists all endpoints by pool, for operators.
-func (rnr *Runner) Standings() map[string][]route.Standing {
-	all := map[string][]route.Standing{}
+func (rnr *Runner) Standings() map[string][]route.EndpointState {
+	all := map[string][]route.EndpointState{}
 	for name, pl := range rnr.allPools() {
 		pl.mtx.Lock()
-		all[name] = pl.gate.Pool().Standings()
+		all[name] = pl.gate.Pool().EndpointStates()
 		pl.mtx.Unlock()
 	}
 	return all
@@ -212,7 +212,7 @@
 	}
 	sum := job.Doc.Graph().Longest(func(stg int) clock.Milli { return waits[stg] + job.stageTimes(rnr.upperTime)(stg) })
 	left := job.Deadline - rnr.clk.Now()
-	if (admit.Budget{Estimate: sum, ToDeadline: left, ToTarget: left}).Judge() != admit.LetIn {
+	if (admit.Budget{Estimate: sum, ToDeadline: left, ToTarget: left}).Judge() != admit.Admit {
 		res := rnr.pool(job.Doc.Stage(0).Pool()).refuse(outcm.DeadlineTooShort, "the expected time of queues and stages exceeds the deadline")
 		return outcm.Refuse(res.Reason(), max(res.RetryAfter(), worst), res.Detail())
 	}
--- a/internal/state/docs.go
+++ b/internal/state/docs.go
@@ -172,7 +172,7 @@
 	rctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	sent = clk.Now()
-	doc, err := store.Newest(rctx)
+	doc, err := store.Document(rctx)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/state/facts.go
+++ b/internal/state/facts.go
@@ -35,8 +35,8 @@
 
 func newFacts(ctl *Control) factsCtl {
 	fcl := factsCtl{ctl: ctl}
-	fcl.spread.Bound(gossip.EndedUnder, poison.Bounds(func() *poison.List { return ctl.facts.suspects }))
-	fcl.spread.Bound(gossip.NamedRate, ratesBounds)
+	fcl.spread.Bound(gossip.CrashedUnder, poison.Bounds(func() *poison.List { return ctl.facts.suspects }))
+	fcl.spread.Bound(gossip.DeclaredRate, ratesBounds)
 	return fcl
 }
 
@@ -72,12 +72,12 @@
 
 // refresh derives the rates and suspects that requests use from the facts.
 func (fcl *factsCtl) refresh(now clock.Milli) {
-	if rates := readRates(fcl.spread.All(gossip.NamedRate, now), now); !maps.Equal(rates, fcl.rates) {
+	if rates := readRates(fcl.spread.All(gossip.DeclaredRate, now), now); !maps.Equal(rates, fcl.rates) {
 		fcl.rates = rates
 		fcl.ctl.ratesChanged = true
 	}
 	before := fcl.suspects
-	fcl.suspects = poison.Read(fcl.spread.All(gossip.EndedUnder, now), now)
+	fcl.suspects = poison.Read(fcl.spread.All(gossip.CrashedUnder, now), now)
 	fcl.stored.wanted = gossip.Digest(fcl.quarantineFacts(now))
 	for _, fpr := range fcl.suspects.NewlyQuarantined(before, now) {
 		evt := fcl.ctl.set.Log.Warn().Stringer("mark", fpr)
@@ -128,7 +128,7 @@
 
 // recordCrash adds a fact on the crash of an endpoint, or withdraws one with [poison.Cleared].
 func (fcl *factsCtl) recordCrash(key, value string, now clock.Milli) {
-	if fct, ok := fcl.spread.Set(gossip.EndedUnder, key, value, now); ok {
+	if fct, ok := fcl.spread.Set(gossip.CrashedUnder, key, value, now); ok {
 		fcl.addLocal([]gossip.Fact{fct}, now)
 	}
 }
--- a/internal/state/rates.go
+++ b/internal/state/rates.go
@@ -93,11 +93,11 @@
 		return
 	}
 	ctl.loop.Offer(func(now clock.Milli) {
-		before, at, had := ctl.facts.spread.Get(gossip.NamedRate, string(ep.ID))
+		before, at, had := ctl.facts.spread.Get(gossip.DeclaredRate, string(ep.ID))
 		if had && before == value && now-at < rateRenewal || !had && value == noRate {
 			return
 		}
-		ctl.facts.addLocal([]gossip.Fact{ctl.facts.spread.Refresh(gossip.NamedRate, string(ep.ID), value, now)}, now)
+		ctl.facts.addLocal([]gossip.Fact{ctl.facts.spread.Refresh(gossip.DeclaredRate, string(ep.ID), value, now)}, now)
 		if !had || before != value {
 			ctl.set.Log.Info().Str("endpoint", string(ep.ID)).Str("pool", ep.Pool).Str("per_second", value).Str("before", before).Msg("declared rate of an endpoint changed")
 		}
--- a/internal/state/start_test.go
+++ b/internal/state/start_test.go
@@ -26,8 +26,8 @@
 
 // storeOf returns a store with one document that answers all other calls by the given functions.
 func storeOf(sto proto.Store) proto.Store {
-	if sto.Newest == nil {
-		sto.Newest = func(context.Context) (proto.Document, error) { return proto.Document{Offset: 1, End: 2}, nil }
+	if sto.Document == nil {
+		sto.Document = func(context.Context) (proto.Document, error) { return proto.Document{Offset: 1, End: 2}, nil }
 	}
 	if sto.Watch == nil {
 		sto.Watch = func(ctx context.Context, _ int64, _ clock.Milli) (bool, error) {
@@ -117,7 +117,7 @@
 		return list("e1"), nil, nil
 	}})
 	gom.Expect(ctl.WaitServable(context.Background()).Endpoints()).To(gomega.HaveLen(1))
-	down := started(t, proto.Store{Newest: func(context.Context) (proto.Document, error) { return proto.Document{}, errors.New("down") }})
+	down := started(t, proto.Store{Document: func(context.Context) (proto.Document, error) { return proto.Document{}, errors.New("down") }})
 	gom.Expect(down.WaitServable(context.Background()).Plan()).To(gomega.BeNil())
 	began := time.Now()
 	gom.Expect(down.WaitServable(context.Background()).Plan()).To(gomega.BeNil())
@@ -203,7 +203,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 		return false, nil
-	}, Newest: func(context.Context) (proto.Document, error) {
+	}, Document: func(context.Context) (proto.Document, error) {
 		if down.Load() {
 			return proto.Document{}, errors.New("down")
 		}
--- a/internal/state/storedfacts.go
+++ b/internal/state/storedfacts.go
@@ -65,7 +65,7 @@
 
 // quarantineFacts returns the facts that should be in the store.
 func (fcl *factsCtl) quarantineFacts(now clock.Milli) []gossip.Fact {
-	return poison.QuarantineFacts(fcl.spread.All(gossip.EndedUnder, now), fcl.suspects, maxStoredFingerprints, maxStoredCrashes)
+	return poison.QuarantineFacts(fcl.spread.All(gossip.CrashedUnder, now), fcl.suspects, maxStoredFingerprints, maxStoredCrashes)
 }
 
 // writeStored writes the facts on quarantined requests if those in the store differ; only the first
--- a/internal/walk/walk.go
+++ b/internal/walk/walk.go
@@ -15,32 +15,32 @@
 	"amaranthvalve/pkg/graph"
 )
 
-// Word is how a walk continues after the end of a stage.
-type Word int
+// Outcome is how a walk continues after the end of a stage.
+type Outcome int
 
 // The ways to continue.
 const (
-	// Made: the stage is done, and stages that depend on it may start.
-	Made Word = iota
-	// Undone: the run of the graph was reset, and continues from there.
-	Undone
+	// Done: the stage is done, and stages that depend on it may start.
+	Done Outcome = iota
+	// Reset: the run of the graph was reset, and continues from there.
+	Reset
 	// Failed: the request can't be answered; no further stage starts.
 	Failed
 )
 
-// Steps are the callbacks of a walk. All except the function that Begin returns are called by
+// Callbacks are the callbacks of a walk. All except the function that Begin returns are called by
 // the goroutine of the walk, so that they need no locks among themselves.
-type Steps[T any] struct {
-	// Span estimates the time of a stage that starts now, queueing included.
-	Span func(stg int) clock.Milli
-	// Begin prepares a stage that starts now and returns the function that runs it.
-	Begin func(stg int) func(ctx context.Context) T
-	// Ended is called when a stage has ended.
-	Ended func(stg int, out T) Word
-	// Unused is called for a stage whose results are no longer needed; it may be nil.
-	Unused func(stg int)
-	// Left is called at the end of a stage that was running when another one failed.
-	Left func(stg int, out T)
+type Callbacks[T any] struct {
+	// Estimate estimates the time of a stage that starts now, queueing included.
+	Estimate func(stg int) clock.Milli
+	// Start prepares a stage that starts now and returns the function that runs it.
+	Start func(stg int) func(ctx context.Context) T
+	// OnEnd is called when a stage has ended.
+	OnEnd func(stg int, out T) Outcome
+	// OnUnused is called for a stage whose results are no longer needed; it may be nil.
+	OnUnused func(stg int)
+	// OnCancelled is called at the end of a stage that was running when another one failed.
+	OnCancelled func(stg int, out T)
 }
 
 // stageEnd is the end of a stage.
@@ -49,33 +49,33 @@
 	out T
 }
 
-// All runs all stages and returns true, or false if one has failed. It returns after everything
+// Run runs all stages and returns true, or false if one has failed. It returns after everything
 // that it started has ended.
-func All[T any](ctx context.Context, run *graph.Run, stp Steps[T]) bool {
+func Run[T any](ctx context.Context, run *graph.Run, stp Callbacks[T]) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	ends := make(chan stageEnd[T])
 	running := 0
-	for !run.Over() {
-		for _, stg := range run.Start(stp.Span) {
-			work := stp.Begin(stg)
+	for !run.Finished() {
+		for _, stg := range run.Start(stp.Estimate) {
+			work := stp.Start(stg)
 			running++
 			go func() { ends <- stageEnd[T]{stg: stg, out: work(ctx)} }()
 		}
 		end := <-ends
 		running--
-		switch stp.Ended(end.stg, end.out) {
+		switch stp.OnEnd(end.stg, end.out) {
 		case Failed:
 			cancel()
 			for ; running > 0; running-- {
 				late := <-ends
-				stp.Left(late.stg, late.out)
+				stp.OnCancelled(late.stg, late.out)
 			}
 			return false
-		case Made:
+		case Done:
 			for _, unused := range run.Done(end.stg) {
-				if stp.Unused != nil {
-					stp.Unused(unused)
+				if stp.OnUnused != nil {
+					stp.OnUnused(unused)
 				}
 			}
 		}
--- a/internal/walk/walk_test.go
+++ b/internal/walk/walk_test.go
@@ -28,11 +28,11 @@
 func TestEachStageRunsOnce(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	var order, unused []int
-	ok := All(context.Background(), newRun(t), Steps[int]{
-		Span:   constantEstimate,
-		Begin:  func(stg int) func(context.Context) int { return func(context.Context) int { return stg } },
-		Ended:  func(_, out int) Word { order = append(order, out); return Made },
-		Unused: func(stg int) { unused = append(unused, stg) },
+	ok := Run(context.Background(), newRun(t), Callbacks[int]{
+		Estimate: constantEstimate,
+		Start:    func(stg int) func(context.Context) int { return func(context.Context) int { return stg } },
+		OnEnd:    func(_, out int) Outcome { order = append(order, out); return Done },
+		OnUnused: func(stg int) { unused = append(unused, stg) },
 	})
 	gom.Expect(ok).To(gomega.BeTrue())
 	gom.Expect(order).To(gomega.HaveLen(4))
@@ -50,9 +50,9 @@
 	var left []int
 	done := make(chan bool)
 	go func() {
-		done <- All(context.Background(), newRun(t), Steps[string]{
-			Span: constantEstimate,
-			Begin: func(stg int) func(context.Context) string {
+		done <- Run(context.Background(), newRun(t), Callbacks[string]{
+			Estimate: constantEstimate,
+			Start: func(stg int) func(context.Context) string {
 				if stg == 0 {
 					return func(ctx context.Context) string {
 						close(began)
@@ -65,11 +65,11 @@
 					return "failed"
 				}
 			},
-			Ended: func(_ int, out string) Word {
+			OnEnd: func(_ int, out string) Outcome {
 				gom.Expect(out).To(gomega.Equal("failed"))
 				return Failed
 			},
-			Left: func(stg int, out string) {
+			OnCancelled: func(stg int, out string) {
 				gom.Expect(out).To(gomega.Equal("ended"))
 				left = append(left, stg)
 			},
@@ -90,16 +90,16 @@
 	gom := gomega.NewWithT(t)
 	run := newRun(t)
 	times := map[int]int{}
-	ok := All(context.Background(), run, Steps[int]{
-		Span:  constantEstimate,
-		Begin: func(stg int) func(context.Context) int { return func(context.Context) int { return stg } },
-		Ended: func(stg, _ int) Word {
+	ok := Run(context.Background(), run, Callbacks[int]{
+		Estimate: constantEstimate,
+		Start:    func(stg int) func(context.Context) int { return func(context.Context) int { return stg } },
+		OnEnd: func(stg, _ int) Outcome {
 			times[stg]++
 			if stg == 2 && times[2] == 1 {
 				run.Reset(2, func(int) bool { return false })
-				return Undone
+				return Reset
 			}
-			return Made
+			return Done
 		},
 	})
 	gom.Expect(ok).To(gomega.BeTrue())
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -108,9 +108,9 @@
 // Entries is the answer to a caller's lookup of addresses.
 type Entries struct {
 	Entries []Entry `json:"entries"`
-	// KeepMs is how long the caller may cache the answer. An instance that shuts
+	// TTLMs is how long the caller may cache the answer. An instance that shuts
 	// down continues to serve for at least this long.
-	KeepMs clock.Milli `json:"keep_ms"`
+	TTLMs clock.Milli `json:"keep_ms"`
 }
 
 // Entry is one address for callers; the best one comes first. Boot is the boot
--- a/pkg/admit/budget.go
+++ b/pkg/admit/budget.go
@@ -26,10 +26,10 @@
 
 // Admission decisions.
 const (
-	// LetIn: the answer is expected in time, or the request would delay no queued one.
-	LetIn Admission = iota
-	// Hopeless: the request can't be answered before the caller's deadline.
-	Hopeless
+	// Admit: the answer is expected in time, or the request would delay no queued one.
+	Admit Admission = iota
+	// MissesDeadline: the request can't be answered before the caller's deadline.
+	MissesDeadline
 	// ShedLate: the request would probably exceed the target latency and take a slot
 	// from another request that can meet it.
 	ShedLate
@@ -40,11 +40,11 @@
 func (bdg Budget) Judge() Admission {
 	switch {
 	case bdg.Estimate > bdg.ToDeadline:
-		return Hopeless
+		return MissesDeadline
 	case bdg.Contended && float64(bdg.Estimate) > contendedShare*float64(bdg.ToTarget):
 		return ShedLate
 	}
-	return LetIn
+	return Admit
 }
 
 // Excess returns by how much the estimate exceeds the available time. It is the shortest
--- a/pkg/admit/budget_test.go
+++ b/pkg/admit/budget_test.go
@@ -11,9 +11,9 @@
 )
 
 func ExampleBudget_Judge() {
-	fmt.Println(Budget{Estimate: 900, ToDeadline: 8000, ToTarget: 1400}.Judge() == LetIn)
+	fmt.Println(Budget{Estimate: 900, ToDeadline: 8000, ToTarget: 1400}.Judge() == Admit)
 	fmt.Println(Budget{Estimate: 1200, ToDeadline: 8000, ToTarget: 1400, Contended: true}.Judge() == ShedLate)
-	fmt.Println(Budget{Estimate: 8001, ToDeadline: 8000, ToTarget: 1400}.Judge() == Hopeless)
+	fmt.Println(Budget{Estimate: 8001, ToDeadline: 8000, ToTarget: 1400}.Judge() == MissesDeadline)
 	// Output:
 	// true
 	// true
@@ -26,7 +26,7 @@
 func TestLateIsServedWithoutContention(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	late := Budget{Estimate: 2000, ToDeadline: 8000, ToTarget: 1400}
-	gom.Expect(late.Judge()).To(gomega.Equal(LetIn))
+	gom.Expect(late.Judge()).To(gomega.Equal(Admit))
 	late.Contended = true
 	gom.Expect(late.Judge()).To(gomega.Equal(ShedLate))
 	gom.Expect(late.Excess()).To(gomega.Equal(clock.Milli(600)))
@@ -43,7 +43,7 @@
 	admitted := 0
 	for range 50 {
 		bdg := Budget{Estimate: clock.Milli(pace*float64(admitted)) + own, ToDeadline: 8000, ToTarget: target, Contended: admitted > 2}
-		if bdg.Judge() == LetIn {
+		if bdg.Judge() == Admit {
 			admitted++
 			gom.Expect((pace*float64(admitted-1)+own)*slower).To(gomega.BeNumerically("<=", target), "request %d in the queue", admitted)
 			continue
@@ -63,7 +63,7 @@
 		worse := bdg
 		worse.Estimate += draw("more")
 		worse.Contended = worse.Contended || rapid.Bool().Draw(t, "crowd")
-		if bdg.Judge() != LetIn && worse.Judge() == LetIn {
+		if bdg.Judge() != Admit && worse.Judge() == Admit {
 			t.Fatalf("%+v is refused, but %+v is admitted", bdg, worse)
 		}
 	})
--- a/pkg/ending/ending.go
+++ b/pkg/ending/ending.go
@@ -69,12 +69,12 @@
 	return retry.Cut
 }
 
-// Verdict returns the routing's verdict on the endpoint. A call that was given up because
+// RouteOutcome returns the routing's verdict on the endpoint. A call that was given up because
 // its time expired, outlasted, counts against the endpoint: if it were neutral, only fast
 // answers would count, and an endpoint too slow for every deadline would never be detected.
 // A call that was given up because its caller disconnected, or that was withheld, is
 // neutral.
-func (end Ending) Verdict(outlasted bool) route.Outcome {
+func (end Ending) RouteOutcome(outlasted bool) route.Outcome {
 	switch {
 	case end == Answered:
 		return route.Success
--- a/pkg/ending/ending_test.go
+++ b/pkg/ending/ending_test.go
@@ -35,13 +35,13 @@
 // whereas a caller that disconnects is no evidence about its endpoint.
 func TestVerdicts(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	gom.Expect(GaveUp.Verdict(true)).To(gomega.Equal(route.Overload))
-	gom.Expect(GaveUp.Verdict(false)).To(gomega.Equal(route.Cancelled))
-	gom.Expect(Withheld.Verdict(false)).To(gomega.Equal(route.Cancelled))
-	gom.Expect(Refused.Verdict(false)).To(gomega.Equal(route.Overload))
-	gom.Expect(Answered.Verdict(false)).To(gomega.Equal(route.Success))
+	gom.Expect(GaveUp.RouteOutcome(true)).To(gomega.Equal(route.Overload))
+	gom.Expect(GaveUp.RouteOutcome(false)).To(gomega.Equal(route.Cancelled))
+	gom.Expect(Withheld.RouteOutcome(false)).To(gomega.Equal(route.Cancelled))
+	gom.Expect(Refused.RouteOutcome(false)).To(gomega.Equal(route.Overload))
+	gom.Expect(Answered.RouteOutcome(false)).To(gomega.Equal(route.Success))
 	for _, end := range []Ending{NothingSent, Errored, Cut, Foreign, Unsigned} {
-		gom.Expect(end.Verdict(false)).To(gomega.Equal(route.Failure), end.String())
+		gom.Expect(end.RouteOutcome(false)).To(gomega.Equal(route.Failure), end.String())
 	}
 }
 
--- a/pkg/gather/fill_test.go
+++ b/pkg/gather/fill_test.go
@@ -12,7 +12,7 @@
 // returns the number of items that wait after 10 s.
 func burst(endpoints int, perSecond float64) int {
 	sch := newScheduler(endpoints)
-	sch.Set(Spec{Slots: 1, MaxItems: 16, BatchMs: 200, ItemMs: 11})
+	sch.SetSpec(Spec{Slots: 1, MaxItems: 16, BatchMs: 200, ItemMs: 11})
 	ends := map[int64]clock.Milli{}
 	jobs := int64(0)
 	for now := clock.Milli(0); now < 10*clock.Second; now++ {
@@ -21,7 +21,7 @@
 		}
 		for id, at := range ends {
 			if at <= now {
-				sch.Ended(id, Answered, nil, now)
+				sch.End(id, Answered, nil, now)
 				delete(ends, id)
 			}
 		}
@@ -47,7 +47,7 @@
 	gom.Expect(bat.Items).To(gomega.HaveLen(3))
 
 	large := newScheduler(38)
-	large.Set(Spec{Slots: 1, MaxItems: 8, BatchMs: 200, ItemMs: 21, Capacity: 1900})
+	large.SetSpec(Spec{Slots: 1, MaxItems: 8, BatchMs: 200, ItemMs: 21, Capacity: 1900})
 	for job := range int64(20) {
 		for i := range int64(3) {
 			large.Add(Item{ID: job*3 + i, Job: job, Due: 9000, Expires: 100000, Bytes: 150})
@@ -68,7 +68,7 @@
 	gom := gomega.NewWithT(t)
 	for _, first := range []int64{1, 2} {
 		sch := Scheduler{}
-		sch.Set(Spec{Slots: 1, MaxItems: 10, BatchMs: 100, ItemMs: 1})
+		sch.SetSpec(Spec{Slots: 1, MaxItems: 10, BatchMs: 100, ItemMs: 1})
 		sch.Sync([]Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}})
 		for i, job := range []int64{1, 1, 2, 2, 3} {
 			due := clock.Minute
--- a/pkg/gather/gather.go
+++ b/pkg/gather/gather.go
@@ -122,13 +122,13 @@
 	Bytes  int64
 }
 
-// Verdict is how a batch ended.
-type Verdict int
+// BatchOutcome is how a batch ended.
+type BatchOutcome int
 
 // Verdicts of a batch.
 const (
 	// Answered: the endpoint answered, with whatever outcome for each item.
-	Answered Verdict = iota
+	Answered BatchOutcome = iota
 	// Busy: the endpoint had no free slot.
 	Busy
 	// Failed: there was no answer or an invalid one.
@@ -216,8 +216,8 @@
 	allKnownAt clock.Milli
 }
 
-// Set sets the specification of the pool.
-func (sch *Scheduler) Set(spc Spec) { sch.spec = spc }
+// SetSpec sets the specification of the pool.
+func (sch *Scheduler) SetSpec(spc Spec) { sch.spec = spc }
 
 // Sync replaces the list of endpoints; the state of those that remain is kept. An endpoint once
 // marked as leaving stays so.
--- a/pkg/gather/gather_test.go
+++ b/pkg/gather/gather_test.go
@@ -12,7 +12,7 @@
 
 func newScheduler(endpoints int) *Scheduler {
 	sch := &Scheduler{}
-	sch.Set(Spec{Slots: 1, MaxItems: 4, BatchMs: 200, ItemMs: 20, Capacity: 1000, TTL: 4000})
+	sch.SetSpec(Spec{Slots: 1, MaxItems: 4, BatchMs: 200, ItemMs: 20, Capacity: 1000, TTL: 4000})
 	var list []Endpoint
 	for i := range endpoints {
 		list = append(list, Endpoint{ID: fmt.Sprintf("m%d", i), Zone: fmt.Sprintf("z%d", i)})
@@ -52,10 +52,10 @@
 	gom.Expect(jobsIn(bat)).To(gomega.Equal([]int64{3}))
 	_, ok = sch.Next(1000)
 	gom.Expect(ok).To(gomega.BeFalse(), "the only slot is busy")
-	sch.Ended(bat.ID, Answered, nil, 1280)
+	sch.End(bat.ID, Answered, nil, 1280)
 	bat, _ = sch.Next(1280)
 	gom.Expect(jobsIn(bat)).To(gomega.Equal([]int64{2}))
-	sch.Ended(bat.ID, Answered, nil, 1560)
+	sch.End(bat.ID, Answered, nil, 1560)
 	bat, _ = sch.Next(1560)
 	gom.Expect(jobsIn(bat)).To(gomega.Equal([]int64{1}))
 }
@@ -73,7 +73,7 @@
 	for now := clock.Milli(0); sch.Waiting() > 0; now += 300 {
 		bat, _ := sch.Next(now)
 		order = append(order, bat.Items[0].Job)
-		sch.Ended(bat.ID, Answered, nil, now+220)
+		sch.End(bat.ID, Answered, nil, now+220)
 	}
 	gom.Expect(order).To(gomega.Equal([]int64{3, 2, 1}))
 }
@@ -99,7 +99,7 @@
 	add(sch, 1, 5, 1000)
 	bat, _ := sch.Next(0)
 	gom.Expect(jobsIn(bat)).To(gomega.Equal([]int64{1}))
-	sch.Ended(bat.ID, Answered, nil, 1500)
+	sch.End(bat.ID, Answered, nil, 1500)
 	add(sch, 2, 4, 3000)
 	bat, _ = sch.Next(1500)
 	gom.Expect(jobsIn(bat)).To(gomega.Equal([]int64{1}))
@@ -126,7 +126,7 @@
 	bat, ok := sch.Next(0)
 	gom.Expect(ok).To(gomega.BeTrue())
 	gom.Expect(jobsIn(bat)).To(gomega.Equal([]int64{2}))
-	sch.Ended(bat.ID, Answered, nil, 220)
+	sch.End(bat.ID, Answered, nil, 220)
 	sch.endpoints[0].heldBytes -= 160
 	bat, _ = sch.Next(220)
 	gom.Expect(jobsIn(bat)).To(gomega.Equal([]int64{1}))
@@ -183,20 +183,20 @@
 	}
 	bat, _ := sch.Next(0)
 	gom.Expect(bat.Items).To(gomega.HaveLen(1))
-	sch.Ended(bat.ID, Answered, []Result{{Handle: "h", Bytes: 600}}, 220)
+	sch.End(bat.ID, Answered, []Result{{Handle: "h", Bytes: 600}}, 220)
 	_, ok := sch.Next(220)
 	gom.Expect(ok).To(gomega.BeFalse())
-	ep, ok := sch.Free("h")
+	ep, ok := sch.Release("h")
 	gom.Expect(ok).To(gomega.BeTrue())
 	gom.Expect(ep.ID).To(gomega.Equal("m0"))
 	bat, ok = sch.Next(230)
 	gom.Expect(ok).To(gomega.BeTrue())
-	sch.Ended(bat.ID, Answered, []Result{{Handle: "lost", Bytes: 600}}, 450)
+	sch.End(bat.ID, Answered, []Result{{Handle: "lost", Bytes: 600}}, 450)
 	_, ok = sch.Next(4000)
 	gom.Expect(ok).To(gomega.BeFalse())
 	bat, ok = sch.Next(4451)
 	gom.Expect(ok).To(gomega.BeTrue(), "the TTL of the result has passed")
-	sch.Ended(bat.ID, Answered, nil, 4600)
+	sch.End(bat.ID, Answered, nil, 4600)
 
 	add(sch, 50, 1, 9000)
 	sch.MarkFull("m0", 4600)
@@ -215,14 +215,14 @@
 	add(sch, 1, 4, 9000)
 	bat, _ := sch.Next(0)
 	slow := bat.Endpoint.ID
-	sch.Ended(bat.ID, Failed, nil, 1140)
+	sch.End(bat.ID, Failed, nil, 1140)
 	add(sch, 2, 4, 9000)
 	bat, _ = sch.Next(2000)
 	gom.Expect(bat.Endpoint.ID).NotTo(gomega.Equal(slow))
 	add(sch, 3, 4, 9000)
 	_, ok := sch.Next(2010)
 	gom.Expect(ok).To(gomega.BeFalse(), "the other endpoint completes it sooner")
-	sch.Ended(bat.ID, Answered, nil, 2280)
+	sch.End(bat.ID, Answered, nil, 2280)
 	bat, _ = sch.Next(2280)
 	add(sch, 4, 4, 30000)
 	_, ok = sch.Next(20000)
@@ -266,14 +266,14 @@
 	}
 	for now := clock.Milli(0); now <= 3000; now += 1000 {
 		for handle := range sch.results {
-			sch.Free(handle)
+			sch.Release(handle)
 		}
 		for {
 			bat, ok := sch.Next(now)
 			if !ok {
 				break
 			}
-			sch.Ended(bat.ID, Answered, []Result{{Handle: fmt.Sprint(bat.ID), Bytes: 1000}}, now)
+			sch.End(bat.ID, Answered, []Result{{Handle: fmt.Sprint(bat.ID), Bytes: 1000}}, now)
 		}
 	}
 	fresh := newScheduler(2)
@@ -337,13 +337,13 @@
 						handles[name] = 1
 						results = append(results, Result{Handle: name, Bytes: 150})
 					}
-					sch.Ended(id, Answered, results, now)
+					sch.End(id, Answered, results, now)
 					delete(calls, id)
 					break
 				}
 			case "free":
 				for name := range handles {
-					if ep, ok := sch.Free(name); ok {
+					if ep, ok := sch.Release(name); ok {
 						held[ep.ID] -= 150
 					}
 					delete(handles, name)
@@ -376,7 +376,7 @@
 	}
 	first, ok := sch.Next(0)
 	gom.Expect(ok).To(gomega.BeTrue())
-	sch.Ended(first.ID, Answered, []Result{{Handle: "h", Bytes: 1000}}, 900)
+	sch.End(first.ID, Answered, []Result{{Handle: "h", Bytes: 1000}}, 900)
 	sch.MarkFull("m@1", 900)
 	sch.Add(Item{ID: 9, Job: 9, Due: 9000, Expires: 99000, Bytes: 10})
 	_, ok = sch.Next(910)
@@ -388,8 +388,8 @@
 	second, ok := sch.Next(1000)
 	gom.Expect(ok).To(gomega.BeTrue())
 	gom.Expect(second.Endpoint.ID).To(gomega.Equal("m@2"))
-	sch.Free("h")
-	sch.Ended(first.ID, Failed, nil, 1010)
+	sch.Release("h")
+	sch.End(first.ID, Failed, nil, 1010)
 	gom.Expect(sch.HeldBytes("m@2")).To(gomega.Equal(int64(10)))
 	gom.Expect(sch.Usable()).To(gomega.Equal(1))
 }
--- a/pkg/gather/learn.go
+++ b/pkg/gather/learn.go
@@ -2,8 +2,8 @@
 
 import "amaranthvalve/pkg/clock"
 
-// Ended records the end of a batch and the results it produced.
-func (sch *Scheduler) Ended(id int64, ver Verdict, results []Result, now clock.Milli) {
+// End records the end of a batch and the results it produced.
+func (sch *Scheduler) End(id int64, ver BatchOutcome, results []Result, now clock.Milli) {
 	ob, ok := sch.batches[id]
 	if !ok {
 		return
@@ -22,7 +22,7 @@
 	sch.updateHealth(ep, ob, ver, now)
 }
 
-func (sch *Scheduler) updateHealth(ep *endpoint, ob *openBatch, ver Verdict, now clock.Milli) {
+func (sch *Scheduler) updateHealth(ep *endpoint, ob *openBatch, ver BatchOutcome, now clock.Milli) {
 	switch ver {
 	case Answered:
 		ep.failures = 0
@@ -61,9 +61,9 @@
 	}
 }
 
-// Begin records that this instance starts to schedule the pool: until the TTL of results has
+// StartTerm records that this instance starts to schedule the pool: until the TTL of results has
 // passed, there may be results that it does not know.
-func (sch *Scheduler) Begin(now clock.Milli) { sch.allKnownAt = now + sch.spec.TTL }
+func (sch *Scheduler) StartTerm(now clock.Milli) { sch.allKnownAt = now + sch.spec.TTL }
 
 // ReportFree records the free result storage that an endpoint reports and returns the storage
 // occupied by foreign results. These were produced for a previous scheduler; their size only
@@ -82,9 +82,9 @@
 	return ep.foreignBytes
 }
 
-// Free records the release of a result and returns the endpoint that stored it, or false if the
+// Release records the release of a result and returns the endpoint that stored it, or false if the
 // result is not known.
-func (sch *Scheduler) Free(handle string) (Endpoint, bool) {
+func (sch *Scheduler) Release(handle string) (Endpoint, bool) {
 	res, ok := sch.results[handle]
 	if !ok {
 		return Endpoint{}, false
--- a/pkg/gather/lost_test.go
+++ b/pkg/gather/lost_test.go
@@ -44,14 +44,14 @@
 			}
 			delete(ends, id)
 			if endg.lost {
-				sch.Ended(id, Failed, nil, now)
+				sch.End(id, Failed, nil, now)
 				for _, itm := range calls[id].Items {
 					itm.Begun = true
 					sch.Add(itm)
 				}
 				continue
 			}
-			sch.Ended(id, Answered, nil, now)
+			sch.End(id, Answered, nil, now)
 			for _, itm := range calls[id].Items {
 				if missing[itm.Job]--; missing[itm.Job] == 0 && came[itm.Job] >= to+2*clock.Second {
 					took = append(took, now-came[itm.Job])
@@ -78,7 +78,7 @@
 	gom := gomega.NewWithT(t)
 	play := func(from, to clock.Milli) []clock.Milli {
 		sch := &Scheduler{}
-		sch.Set(Spec{Slots: 1, MaxItems: 16, BatchMs: 200, ItemMs: 11})
+		sch.SetSpec(Spec{Slots: 1, MaxItems: 16, BatchMs: 200, ItemMs: 11})
 		return lossy(sch, 38, 120, from, to, 12*clock.Second)
 	}
 	calm, after := play(0, 0), play(2*clock.Second, 5*clock.Second)
--- a/pkg/gather/spacing_test.go
+++ b/pkg/gather/spacing_test.go
@@ -51,7 +51,7 @@
 			if at > now {
 				continue
 			}
-			sch.Ended(id, Answered, nil, now)
+			sch.End(id, Answered, nil, now)
 			delete(ends, id)
 			for _, job := range jobsIn(calls[id]) {
 				took = append(took, now-came[job])
@@ -72,7 +72,7 @@
 func TestBatchesDoNotBunch(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	sch := newScheduler(5)
-	sch.Set(Spec{Slots: 1, MaxItems: 34, BatchMs: 240, ItemMs: 6.1})
+	sch.SetSpec(Spec{Slots: 1, MaxItems: 34, BatchMs: 240, ItemMs: 6.1})
 	took := load(sch, 48.4)
 	gom.Expect(len(took)).To(gomega.BeNumerically(">", 2700))
 	gom.Expect(took[len(took)*9/10]).To(gomega.BeNumerically("<", 510))
@@ -84,7 +84,7 @@
 func TestSpacingOnIdlePool(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	sch := newScheduler(5)
-	sch.Set(Spec{Slots: 1, MaxItems: 34, BatchMs: 240, ItemMs: 6.1})
+	sch.SetSpec(Spec{Slots: 1, MaxItems: 34, BatchMs: 240, ItemMs: 6.1})
 	took := load(sch, 5)
 	gom.Expect(took[len(took)/2]).To(gomega.BeNumerically("<=", sch.spec.Time(4)+1))
 	gom.Expect(took[len(took)*9/10]).To(gomega.BeNumerically("<", sch.spec.Time(4)+50))
@@ -104,7 +104,7 @@
 	bat, ok := sch.Next(1000)
 	gom.Expect(ok).To(gomega.BeTrue())
 	gom.Expect(bat.Items).To(gomega.HaveLen(2))
-	sch.Ended(bat.ID, Answered, []Result{{Handle: "a", Bytes: 250}, {Handle: "b", Bytes: 250}}, 1240)
+	sch.End(bat.ID, Answered, []Result{{Handle: "a", Bytes: 250}, {Handle: "b", Bytes: 250}}, 1240)
 	_, ok = sch.Next(1300)
 	gom.Expect(ok).To(gomega.BeFalse(), "the result storage is full")
 	gom.Expect(sch.ReportFree("m0", 0, 1350)).To(gomega.Equal(int64(500)), "the report is older than own results")
@@ -112,10 +112,10 @@
 	bat, ok = sch.Next(1400)
 	gom.Expect(ok).To(gomega.BeTrue())
 	gom.Expect(bat.Items).To(gomega.HaveLen(1))
-	sch.Ended(bat.ID, Answered, []Result{{Handle: "c", Bytes: 250}}, 1620)
-	sch.Free("a")
-	sch.Free("b")
-	sch.Free("c")
+	sch.End(bat.ID, Answered, []Result{{Handle: "c", Bytes: 250}}, 1620)
+	sch.Release("a")
+	sch.Release("b")
+	sch.Release("c")
 	for i := range int64(4) {
 		sch.Add(Item{ID: 10 + i, Job: 10 + i, Due: 99000, Expires: 100000, Bytes: 250})
 	}
@@ -130,25 +130,25 @@
 func TestRefusalsRevealForeignResults(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	sch := newScheduler(1)
-	sch.Begin(900)
+	sch.StartTerm(900)
 	for i := range int64(9) {
 		sch.Add(Item{ID: i, Job: i, Due: 9000, Expires: 100000, Bytes: 250})
 	}
 	bat, _ := sch.Next(1000)
 	gom.Expect(bat.Items).To(gomega.HaveLen(4))
-	sch.Ended(bat.ID, Answered, []Result{{Handle: "a", Bytes: 250}, {Handle: "b", Bytes: 250}}, 1280)
+	sch.End(bat.ID, Answered, []Result{{Handle: "a", Bytes: 250}, {Handle: "b", Bytes: 250}}, 1280)
 	sch.MarkFull("m0", 1280)
 	_, ok := sch.Next(1280 + fullRetryDelay)
 	gom.Expect(ok).To(gomega.BeFalse())
-	sch.Free("a")
+	sch.Release("a")
 	bat, ok = sch.Next(1400)
 	gom.Expect(ok).To(gomega.BeTrue())
 	gom.Expect(bat.Items).To(gomega.HaveLen(1))
-	sch.Ended(bat.ID, Answered, []Result{{Handle: "c", Bytes: 250}}, 1620)
+	sch.End(bat.ID, Answered, []Result{{Handle: "c", Bytes: 250}}, 1620)
 	bat, ok = sch.Next(1280 + foreignTTL)
 	gom.Expect(ok).To(gomega.BeTrue())
 	gom.Expect(bat.Items).To(gomega.HaveLen(2))
-	sch.Ended(bat.ID, Answered, []Result{{Handle: "d", Bytes: 250}}, 900+4000)
+	sch.End(bat.ID, Answered, []Result{{Handle: "d", Bytes: 250}}, 900+4000)
 	sch.MarkFull("m0", 900+4000)
 	gom.Expect(sch.endpoints[0].foreignBytes).To(gomega.BeZero(), "earlier results have expired")
 }
--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -18,10 +18,10 @@
 
 // Kinds of facts.
 const (
-	// EndedUnder: an endpoint crashed with a request in flight; the key identifies both.
-	EndedUnder Kind = iota + 1 // ended_under
-	// NamedRate: the maximum request rate that an endpoint declares; the key is the endpoint.
-	NamedRate // named_rate
+	// CrashedUnder: an endpoint crashed with a request in flight; the key identifies both.
+	CrashedUnder Kind = iota + 1 // ended_under
+	// DeclaredRate: the maximum request rate that an endpoint declares; the key is the endpoint.
+	DeclaredRate // named_rate
 )
 
 // Fact is the wire form of a fact.
--- a/pkg/gossip/gossip_test.go
+++ b/pkg/gossip/gossip_test.go
@@ -13,19 +13,19 @@
 
 func newTable(most int) *Table {
 	tbl := &Table{}
-	tbl.Bound(EndedUnder, Bounds{Retention: clock.Minute, MaxFacts: most})
+	tbl.Bound(CrashedUnder, Bounds{Retention: clock.Minute, MaxFacts: most})
 	return tbl
 }
 
 func Example() {
 	var one, two Table
 	for _, tbl := range []*Table{&one, &two} {
-		tbl.Bound(EndedUnder, Bounds{Retention: clock.Minute, MaxFacts: 10})
+		tbl.Bound(CrashedUnder, Bounds{Retention: clock.Minute, MaxFacts: 10})
 	}
-	one.Set(EndedUnder, "request", "set by one", 0)
+	one.Set(CrashedUnder, "request", "set by one", 0)
 	fmt.Println(one.Digest() == two.Digest())
 	two.Learn(one.Sample(10, 20), 20)
-	value, at, _ := two.Get(EndedUnder, "request")
+	value, at, _ := two.Get(CrashedUnder, "request")
 	fmt.Println(one.Digest() == two.Digest(), value, at)
 	// Output:
 	// false
@@ -39,7 +39,7 @@
 		gom := gomega.NewWithT(t)
 		facts := rapid.SliceOf(rapid.Custom(func(rt *rapid.T) Fact {
 			return Fact{
-				Kind: EndedUnder, Key: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "key"),
+				Kind: CrashedUnder, Key: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "key"),
 				Value:   rapid.SampledFrom([]string{"", "x", "y"}).Draw(rt, "value"),
 				Version: rapid.Uint64Range(1, 3).Draw(rt, "version"), Age: clock.Milli(rapid.IntRange(0, 100).Draw(rt, "age")),
 			}
@@ -57,7 +57,7 @@
 			}
 			return list
 		}
-		gom.Expect(strip(one.All(EndedUnder, 1000))).To(gomega.Equal(strip(two.All(EndedUnder, 1000))))
+		gom.Expect(strip(one.All(CrashedUnder, 1000))).To(gomega.Equal(strip(two.All(CrashedUnder, 1000))))
 	})
 }
 
@@ -66,7 +66,7 @@
 func TestFactsExpire(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	one, two := newTable(10), newTable(10)
-	one.Set(EndedUnder, "a", "x", 0)
+	one.Set(CrashedUnder, "a", "x", 0)
 	late := one.Sample(10, clock.Minute-1)
 	gom.Expect(two.Learn(late, clock.Minute-1)).To(gomega.HaveLen(1))
 	gom.Expect(one.Expire(clock.Minute)).To(gomega.BeTrue())
@@ -80,21 +80,21 @@
 func TestEvictionFollowsWeight(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	tbl := &Table{}
-	tbl.Bound(EndedUnder, Bounds{Retention: clock.Minute, MaxFacts: 4, Weight: func(key string) int {
+	tbl.Bound(CrashedUnder, Bounds{Retention: clock.Minute, MaxFacts: 4, Weight: func(key string) int {
 		if slices.Contains([]string{"heavy", "other"}, key) {
 			return 1
 		}
 		return 0
 	}})
-	tbl.Set(EndedUnder, "heavy", "x", 0)
-	tbl.Set(EndedUnder, "other", "x", 1)
+	tbl.Set(CrashedUnder, "heavy", "x", 0)
+	tbl.Set(CrashedUnder, "other", "x", 1)
 	for i := range 100 {
-		tbl.Set(EndedUnder, fmt.Sprint(i), "x", clock.Milli(2+i))
+		tbl.Set(CrashedUnder, fmt.Sprint(i), "x", clock.Milli(2+i))
 	}
 	gom.Expect(tbl.Len()).To(gomega.Equal(4))
 	gom.Expect(tbl.Evicted()).To(gomega.Equal(98))
 	for _, key := range []string{"heavy", "other", "98", "99"} {
-		_, _, ok := tbl.Get(EndedUnder, key)
+		_, _, ok := tbl.Get(CrashedUnder, key)
 		gom.Expect(ok).To(gomega.BeTrue(), key)
 	}
 }
--- a/pkg/gossip/kind_string.go
+++ b/pkg/gossip/kind_string.go
@@ -8,8 +8,8 @@
 	// An "invalid array index" compiler error signifies that the constant values have changed.
 	// Re-run the stringer command to generate them again.
 	var x [1]struct{}
-	_ = x[EndedUnder-1]
-	_ = x[NamedRate-2]
+	_ = x[CrashedUnder-1]
+	_ = x[DeclaredRate-2]
 }
 
 const _Kind_name = "ended_undernamed_rate"
--- a/pkg/gossip/spread_test.go
+++ b/pkg/gossip/spread_test.go
@@ -16,15 +16,15 @@
 type replicas struct{ *fleet.Fleet }
 
 func newReplicas(count int, lost float64, seed uint64) replicas {
-	return replicas{fleet.New(fleet.Setup{Count: count, Lost: lost, Seed: seed, Begin: func(ins *fleet.Instance) {
-		ins.Spread().Bound(gossip.EndedUnder, gossip.Bounds{Retention: clock.Hour, MaxFacts: 1000})
+	return replicas{fleet.New(fleet.Setup{Count: count, LossRate: lost, Seed: seed, OnStart: func(ins *fleet.Instance) {
+		ins.Spread().Bound(gossip.CrashedUnder, gossip.Bounds{Retention: clock.Hour, MaxFacts: 1000})
 	}})}
 }
 
 // originate originates a fact at an instance.
 func (rep replicas) originate(i int, key string) {
 	spread := rep.Instances()[i].Spread()
-	if fct, ok := spread.Set(gossip.EndedUnder, key, "x", rep.Now()); ok {
+	if fct, ok := spread.Set(gossip.CrashedUnder, key, "x", rep.Now()); ok {
 		spread.Enqueue(fct)
 	}
 }
@@ -60,12 +60,12 @@
 			gom.Expect(rep.countWith(3)).To(gomega.Equal(size.instances))
 
 			for i, ins := range rep.Instances() {
-				rep.Cut(ins, i%5 == 4)
+				rep.SetPartitioned(ins, i%5 == 4)
 			}
 			rep.originate(0, "while some are partitioned")
 			rep.Run(2*clock.Second, nil)
 			for _, ins := range rep.Instances() {
-				rep.Cut(ins, false)
+				rep.SetPartitioned(ins, false)
 			}
 			rep.Run(size.within, nil)
 			gom.Expect(rep.countWith(4)).To(gomega.Equal(size.instances), "after the cut")
--- a/pkg/graph/graph_test.go
+++ b/pkg/graph/graph_test.go
@@ -24,7 +24,7 @@
 	gr, _ := New([][]int{{}, {0}})
 	run := gr.Run(func(int) bool { return false })
 	span := func(int) clock.Milli { return 200 }
-	fmt.Println(run.Start(span), run.Done(0), run.Start(span), run.Done(1), run.Over())
+	fmt.Println(run.Start(span), run.Done(0), run.Start(span), run.Done(1), run.Finished())
 	// Output: [0] [] [1] [0] true
 }
 
@@ -107,7 +107,7 @@
 		})
 		finished, released := map[int]bool{}, map[int]bool{}
 		var running []int
-		for !run.Over() {
+		for !run.Finished() {
 			for _, stg := range run.Start(func(int) clock.Milli { return clock.Milli(rapid.IntRange(0, 500).Draw(t, "span")) }) {
 				for _, pre := range after[stg] {
 					if !finished[pre] && !skipped[pre] {
@@ -157,7 +157,7 @@
 		gom.Expect(run.Start(even)).To(gomega.Equal([]int{stg}))
 		run.Done(stg)
 	}
-	gom.Expect(run.Over()).To(gomega.BeTrue())
+	gom.Expect(run.Finished()).To(gomega.BeTrue())
 
 	run = begun()
 	stored := func(stg int) bool { return stg == 1 }
--- a/pkg/graph/run.go
+++ b/pkg/graph/run.go
@@ -36,8 +36,8 @@
 	return run
 }
 
-// Over reports whether all stages are done.
-func (run *Run) Over() bool {
+// Finished reports whether all stages are done.
+func (run *Run) Finished() bool {
 	return !slices.ContainsFunc(run.states, func(st state) bool { return st != done })
 }
 
--- a/pkg/limit/size_test.go
+++ b/pkg/limit/size_test.go
@@ -51,8 +51,8 @@
 
 func newSenders(count int, rate float64, within clock.Milli) *senders {
 	sds := &senders{rate: rate, within: within, of: map[*fleet.Instance]*sender{}}
-	sds.Fleet = fleet.New(fleet.Setup{Count: count, Lost: 0.02, Seed: uint64(count), Begin: func(ins *fleet.Instance) {
-		ins.Spread().Bound(gossip.NamedRate, gossip.Bounds{Retention: clock.Hour, MaxFacts: 100})
+	sds.Fleet = fleet.New(fleet.Setup{Count: count, LossRate: 0.02, Seed: uint64(count), OnStart: func(ins *fleet.Instance) {
+		ins.Spread().Bound(gossip.DeclaredRate, gossip.Bounds{Retention: clock.Hour, MaxFacts: 100})
 		sds.of[ins] = &sender{Instance: ins, unresponsive: map[ident.Incarnation]clock.Milli{}}
 	}})
 	return sds
@@ -60,25 +60,25 @@
 
 // runLoaded runs the fleet for a time with one request in each step.
 func (sds *senders) runLoaded(span clock.Milli) {
-	sds.Run(span, func() { sds.ask(sds.of[sds.Any()]) })
+	sds.Run(span, func() { sds.ask(sds.of[sds.Random()]) })
 }
 
 // coordinator returns the coordinator of the rate in the view of an instance, and how many
 // unresponsive ones were passed over.
 func (sds *senders) coordinator(sdr *sender) (who ident.Incarnation, unresponsive int) {
 	for _, who := range sdr.List().Owners("pool") {
-		if who == sdr.Who() || sds.Now() >= sdr.unresponsive[who] {
+		if who == sdr.ID() || sds.Now() >= sdr.unresponsive[who] {
 			return who, unresponsive
 		}
 		unresponsive++
 	}
-	return sdr.Who(), unresponsive
+	return sdr.ID(), unresponsive
 }
 
 // grants reports whether an instance that is asked for a permit allows a request.
 func (sds *senders) grants(sdr *sender) bool {
 	who, unresponsive := sds.coordinator(sdr)
-	if coordinates := who == sdr.Who(); coordinates != sdr.coordinates {
+	if coordinates := who == sdr.ID(); coordinates != sdr.coordinates {
 		sdr.coordinates, sdr.term = coordinates, sds.Now()
 	}
 	share := limit.CoordinatorShare(unresponsive, sds.Now()-sdr.term)
@@ -96,10 +96,10 @@
 // ask sends a request from an instance if the rate allows it. An instance that doesn't know of a
 // rate sends without a permit.
 func (sds *senders) ask(sdr *sender) {
-	if _, _, knows := sdr.Spread().Get(gossip.NamedRate, endpoint); knows {
+	if _, _, knows := sdr.Spread().Get(gossip.DeclaredRate, endpoint); knows {
 		who, _ := sds.coordinator(sdr)
 		oth := sds.Find(who)
-		if who != sdr.Who() && !sds.Reaches(sdr.Instance, oth) {
+		if who != sdr.ID() && !sds.Send(sdr.Instance, oth) {
 			sdr.unresponsive[who] = sds.Now() + unresponsiveFor
 			return
 		}
@@ -107,12 +107,12 @@
 			return
 		}
 	}
-	counts := sdr.learned > 0 && sds.Now()-sdr.learned >= 500 && sds.IsCalm(sdr.Instance, sds.within)
+	counts := sdr.learned > 0 && sds.Now()-sdr.learned >= 500 && sds.IsSteady(sdr.Instance, sds.within)
 	sds.arrivals = append(sds.arrivals, arrival{at: sds.Now(), counts: counts})
 	if sdr.learned == 0 {
 		sdr.learned = sds.Now()
 	}
-	if fct, ok := sdr.Spread().Set(gossip.NamedRate, endpoint, fmt.Sprint(sds.rate), sds.Now()); ok {
+	if fct, ok := sdr.Spread().Set(gossip.DeclaredRate, endpoint, fmt.Sprint(sds.rate), sds.Now()); ok {
 		sdr.Spread().Enqueue(fct)
 	}
 }
@@ -161,9 +161,9 @@
 				for round := range 4 {
 					who, _ := sds.coordinator(sds.of[sds.Instances()[round]])
 					coordinator := sds.Find(who)
-					sds.Cut(coordinator, true)
+					sds.SetPartitioned(coordinator, true)
 					sds.runLoaded(4 * clock.Second)
-					sds.Cut(coordinator, false)
+					sds.SetPartitioned(coordinator, false)
 					sds.runLoaded(8 * clock.Second)
 					sds.Restart(func(i int) bool { return i%10 == round })
 					sds.runLoaded(10 * clock.Second)
--- a/pkg/place/load_test.go
+++ b/pkg/place/load_test.go
@@ -34,12 +34,12 @@
 	shortTarget = 400
 )
 
-func (oc *outcome) record(sent float64, ans model.Answer, target float64) {
+func (oc *outcome) record(sent float64, ans model.Timing, target float64) {
 	oc.count++
-	if ans.Pause > maxGap {
+	if ans.MaxGap > maxGap {
 		oc.latePauses++
 	}
-	if ans.First-sent > target {
+	if ans.FirstEvent-sent > target {
 		oc.lateFirsts++
 	}
 }
@@ -50,7 +50,7 @@
 	for i := range 18 {
 		spec := model.Dense()
 		if i%3 == 2 {
-			spec.Slow = 1.3
+			spec.SlowFactor = 1.3
 		}
 		flt.engines = append(flt.engines, model.NewEngine(spec))
 	}
@@ -77,18 +77,18 @@
 }
 
 // play simulates ten pages and fifty questions a second for a minute; choose places each.
-func (flt *fleet) play(choose func(ticket string, prm Prompt, now clock.Milli) int, first, done func(ticket string, ans model.Answer, took float64)) {
+func (flt *fleet) play(choose func(ticket string, prm Prompt, now clock.Milli) int, first, done func(ticket string, ans model.Timing, took float64)) {
 	under := map[string]sent{}
 	for _, eng := range flt.engines {
-		eng.First = func(ans model.Answer) { first(ans.ID, ans, ans.First-under[ans.ID].at) }
-		eng.Done = func(ans model.Answer) {
+		eng.OnFirst = func(ans model.Timing) { first(ans.ID, ans, ans.FirstEvent-under[ans.ID].at) }
+		eng.OnDone = func(ans model.Timing) {
 			sn := under[ans.ID]
 			if sn.page {
 				flt.pages.record(sn.at, ans, pageTarget)
 			} else {
 				flt.short.record(sn.at, ans, shortTarget)
 			}
-			done(ans.ID, ans, ans.End-sn.at)
+			done(ans.ID, ans, ans.LastEvent-sn.at)
 		}
 	}
 	n := 0
@@ -104,7 +104,7 @@
 		n++
 		ticket := fmt.Sprint(n)
 		under[ticket] = sent{at: now, page: isPage}
-		req := model.Request{ID: ticket, In: prm.InTokens, Out: out}
+		req := model.Request{ID: ticket, InTokens: prm.InTokens, OutTokens: out}
 		for _, prt := range prm.shared() {
 			req.Parts, req.Sizes = append(req.Parts, prt.ID), append(req.Sizes, prt.Tokens)
 		}
@@ -127,16 +127,16 @@
 		plc := newPlacer(18)
 		plm, _ := plc.Pick(Ask{Prompt: prm}, 0)
 		return index(plm)
-	}, func(string, model.Answer, float64) {}, func(string, model.Answer, float64) {})
+	}, func(string, model.Timing, float64) {}, func(string, model.Timing, float64) {})
 
 	placed := newFleet()
 	plc := newPlacer(18)
 	placed.play(func(ticket string, prm Prompt, now clock.Milli) int {
 		return index(pick(plc, ticket, Ask{Prompt: prm, MaxGap: maxGap}, now))
-	}, func(ticket string, ans model.Answer, took float64) {
-		plc.First(ticket, clock.Milli(took), clock.Milli(ans.First))
-	}, func(ticket string, ans model.Answer, _ float64) {
-		plc.End(ticket, Succeeded, clock.Milli(ans.Pause), clock.Milli(ans.End))
+	}, func(ticket string, ans model.Timing, took float64) {
+		plc.First(ticket, clock.Milli(took), clock.Milli(ans.FirstEvent))
+	}, func(ticket string, ans model.Timing, _ float64) {
+		plc.End(ticket, Succeeded, clock.Milli(ans.MaxGap), clock.Milli(ans.LastEvent))
 	})
 	t.Logf("by hash: pages %+v, questions %+v; placed: pages %+v, questions %+v", byHash.pages, byHash.short, placed.pages, placed.short)
 	gom.Expect(share(byHash.pages.latePauses, byHash.pages)).To(gomega.BeNumerically(">", 0.04))
--- a/pkg/plan/draft.go
+++ b/pkg/plan/draft.go
@@ -73,22 +73,22 @@
 	Queue int
 	// MaxItems is the maximum number of items in a batch.
 	MaxItems int
-	// Call is the fixed time of a batch, Item the additional time of each item, in
+	// BatchMs is the fixed time of a batch, Item the additional time of each item, in
 	// milliseconds.
-	Call float64
-	Item float64
+	BatchMs float64
+	ItemMs  float64
 	// ResultBytes is the capacity of an endpoint for results, in bytes.
 	ResultBytes int64
 	// ResultTTL is how long an endpoint stores a result that is not released.
 	ResultTTL clock.Milli
-	// Link is the bandwidth for fetching results in Mbit/s; zero if unknown.
-	Link float64
+	// LinkMbps is the bandwidth for fetching results in Mbit/s; zero if unknown.
+	LinkMbps float64
 }
 
 // DraftEngine describes the capabilities of a model engine.
 type DraftEngine struct {
-	// Places is the number of requests that run concurrently.
-	Places int
+	// Slots is the number of requests that run concurrently.
+	Slots int
 	// Memory is the capacity in tokens shared by running requests and cached prompts.
 	Memory int
 	// Fetches is set if an engine can fetch cached parts of prompts from others.
@@ -166,8 +166,8 @@
 		return fmt.Errorf("name is missing")
 	case pol.Batch != nil && (pol.Batch.MaxItems < 1 || pol.Batch.Slots < 1):
 		return fmt.Errorf("batch size %d and slots %d must be at least 1", pol.Batch.MaxItems, pol.Batch.Slots)
-	case pol.Batch != nil && (pol.Batch.Call < 0 || pol.Batch.Item < 0 || pol.Batch.ResultBytes < 0):
-		return fmt.Errorf("time per batch %g ms, time per item %g ms and result capacity %d bytes must not be below 0", pol.Batch.Call, pol.Batch.Item, pol.Batch.ResultBytes)
+	case pol.Batch != nil && (pol.Batch.BatchMs < 0 || pol.Batch.ItemMs < 0 || pol.Batch.ResultBytes < 0):
+		return fmt.Errorf("time per batch %g ms, time per item %g ms and result capacity %d bytes must not be below 0", pol.Batch.BatchMs, pol.Batch.ItemMs, pol.Batch.ResultBytes)
 	}
 	return nil
 }
--- a/pkg/plan/plan_test.go
+++ b/pkg/plan/plan_test.go
@@ -15,7 +15,7 @@
 		},
 		Pools: []DraftPool{
 			{Name: "plain"},
-			{Name: "engines", Engine: &DraftEngine{Places: 8}},
+			{Name: "engines", Engine: &DraftEngine{Slots: 8}},
 			{Name: "makers", Batch: &DraftBatch{Slots: 1, MaxItems: 4}},
 		},
 		Workspaces: []DraftWorkspace{{Name: "corella", Tokens: []string{"k1", "k2"}}, {Name: "shiretoko", Tokens: []string{"k2", "k3"}}},
--- a/pkg/poison/list.go
+++ b/pkg/poison/list.go
@@ -170,7 +170,7 @@
 func Clear(tbl *gossip.Table, lst *List, fpr Fingerprint, now clock.Milli) []gossip.Fact {
 	var fresh []gossip.Fact
 	for _, crs := range lst.Crashes(fpr) {
-		if fct, ok := tbl.Set(gossip.EndedUnder, Key(fpr, crs.Endpoint), Cleared, now); ok {
+		if fct, ok := tbl.Set(gossip.CrashedUnder, Key(fpr, crs.Endpoint), Cleared, now); ok {
 			fresh = append(fresh, fct)
 		}
 	}
--- a/pkg/poison/list_test.go
+++ b/pkg/poison/list_test.go
@@ -21,16 +21,16 @@
 
 func newObserver() *observer {
 	obs := &observer{}
-	obs.tbl.Bound(gossip.EndedUnder, Bounds(func() *List { return obs.lst }))
+	obs.tbl.Bound(gossip.CrashedUnder, Bounds(func() *List { return obs.lst }))
 	return obs
 }
 
 func (obs *observer) refresh(now clock.Milli) {
-	obs.lst = Read(obs.tbl.All(gossip.EndedUnder, now), now)
+	obs.lst = Read(obs.tbl.All(gossip.CrashedUnder, now), now)
 }
 
 func (obs *observer) crash(fpr Fingerprint, endpoint string, now clock.Milli) {
-	obs.tbl.Set(gossip.EndedUnder, Key(fpr, ident.Process(endpoint)), "10.0.0.1:7300", now)
+	obs.tbl.Set(gossip.CrashedUnder, Key(fpr, ident.Process(endpoint)), "10.0.0.1:7300", now)
 	obs.refresh(now)
 }
 
@@ -136,7 +136,7 @@
 		obs.crash(poisonous, fmt.Sprintf("i-%d", i), 0)
 	}
 	for i := range maxCrashes + 100 {
-		obs.tbl.Set(gossip.EndedUnder, Key(FingerprintOf("h", fmt.Sprint(i), "", nil), "i-9"), "x", 1)
+		obs.tbl.Set(gossip.CrashedUnder, Key(FingerprintOf("h", fmt.Sprint(i), "", nil), "i-9"), "x", 1)
 	}
 	obs.refresh(1)
 	gom.Expect(obs.tbl.Len()).To(gomega.Equal(maxCrashes))
--- a/pkg/poison/size_test.go
+++ b/pkg/poison/size_test.go
@@ -56,7 +56,7 @@
 
 func newCluster(count int, within clock.Milli) *cluster {
 	cls := &cluster{within: within, fingerprint: poison.FingerprintOf("desk.example", "/plan", "corella", []byte("deadly")), observers: map[*fleet.Instance]*observer{}}
-	cls.Fleet = fleet.New(fleet.Setup{Count: count, Lost: 0.05, Seed: uint64(count), Begin: cls.begin})
+	cls.Fleet = fleet.New(fleet.Setup{Count: count, LossRate: 0.05, Seed: uint64(count), OnStart: cls.begin})
 	return cls
 }
 
@@ -64,7 +64,7 @@
 func (cls *cluster) begin(ins *fleet.Instance) {
 	obs := &observer{Instance: ins}
 	cls.observers[ins] = obs
-	ins.Spread().Bound(gossip.EndedUnder, poison.Bounds(func() *poison.List { return obs.lst }))
+	ins.Spread().Bound(gossip.CrashedUnder, poison.Bounds(func() *poison.List { return obs.lst }))
 	if cls.Fleet == nil {
 		return
 	}
@@ -78,7 +78,7 @@
 // list returns the list of an instance and rebuilds it if its facts have changed.
 func (cls *cluster) list(obs *observer) *poison.List {
 	if digest := obs.Spread().Digest(); digest != obs.digest {
-		obs.lst, obs.digest = poison.Read(obs.Spread().All(gossip.EndedUnder, cls.Now()), cls.Now()), digest
+		obs.lst, obs.digest = poison.Read(obs.Spread().All(gossip.CrashedUnder, cls.Now()), cls.Now()), digest
 	}
 	return obs.lst
 }
@@ -86,8 +86,8 @@
 // step sends the request, crashes endpoints that are due, and writes to the store.
 func (cls *cluster) step() {
 	if cls.Now()%arrivalInterval == 0 {
-		if obs := cls.observers[cls.Any()]; !cls.list(obs).OnTrial(cls.fingerprint) {
-			cls.sent = append(cls.sent, &attempt{at: cls.Now(), by: obs, steady: cls.IsCalm(obs.Instance, cls.within)})
+		if obs := cls.observers[cls.Random()]; !cls.list(obs).OnTrial(cls.fingerprint) {
+			cls.sent = append(cls.sent, &attempt{at: cls.Now(), by: obs, steady: cls.IsSteady(obs.Instance, cls.within)})
 		}
 	}
 	for i, att := range cls.sent {
@@ -99,8 +99,8 @@
 		return
 	}
 	for _, ins := range cls.Instances() {
-		if cls.IsCalm(ins, 0) {
-			facts := ins.Spread().All(gossip.EndedUnder, cls.Now())
+		if cls.IsSteady(ins, 0) {
+			facts := ins.Spread().All(gossip.CrashedUnder, cls.Now())
 			cls.stored, cls.storedAt = poison.QuarantineFacts(facts, cls.list(cls.observers[ins]), 64, 6), cls.Now()
 			return
 		}
@@ -113,11 +113,11 @@
 	if i == 2 {
 		cls.thirdCrash = cls.Now()
 	}
-	if cls.Find(att.by.Who()) == nil {
+	if cls.Find(att.by.ID()) == nil {
 		return
 	}
 	key := poison.Key(cls.fingerprint, ident.Process(fmt.Sprintf("i-%d", i)))
-	if fct, ok := att.by.Spread().Set(gossip.EndedUnder, key, att.by.Who().Addr(), cls.Now()); ok {
+	if fct, ok := att.by.Spread().Set(gossip.CrashedUnder, key, att.by.ID().Addr(), cls.Now()); ok {
 		att.by.Spread().Enqueue(fct)
 	}
 }
@@ -146,11 +146,11 @@
 			cls := newCluster(size.instances, size.within)
 			cls.Run(2*clock.Second, nil)
 			for i, ins := range cls.Instances() {
-				cls.Cut(ins, i%5 == 4)
+				cls.SetPartitioned(ins, i%5 == 4)
 			}
 			cls.Run(4*clock.Second, cls.step)
 			for _, ins := range cls.Instances() {
-				cls.Cut(ins, false)
+				cls.SetPartitioned(ins, false)
 			}
 			cls.Run(8*clock.Second, cls.step)
 			for round := range 3 {
--- a/pkg/route/learn.go
+++ b/pkg/route/learn.go
@@ -139,25 +139,25 @@
 	}
 }
 
-// Standing is the state of an endpoint in the operators' view.
-type Standing struct {
+// EndpointState is the state of an endpoint in the operators' view.
+type EndpointState struct {
 	ID       string  `json:"id"`
 	Addr     string  `json:"addr"`
 	Zone     string  `json:"zone"`
 	InFlight int     `json:"in_flight"`
 	Limit    int     `json:"limit"`
 	Latency  float64 `json:"latency_ms"`
-	Benched  bool    `json:"benched"`
+	Ejected  bool    `json:"benched"`
 	Leaving  bool    `json:"leaving"`
 }
 
-// Standings returns the state of all endpoints for operators.
-func (pl *Pool) Standings() []Standing {
-	list := make([]Standing, 0, len(pl.peers))
+// EndpointStates returns the state of all endpoints for operators.
+func (pl *Pool) EndpointStates() []EndpointState {
+	list := make([]EndpointState, 0, len(pl.peers))
 	for _, pr := range pl.peers {
-		list = append(list, Standing{
+		list = append(list, EndpointState{
 			ID: pr.ep.ID, Addr: pr.ep.Addr, Zone: pr.ep.Zone, InFlight: pr.inFlight, Limit: pr.limiter.Limit(),
-			Latency: pr.latency, Benched: pr.ejectedUntil != 0, Leaving: pr.leaving,
+			Latency: pr.latency, Ejected: pr.ejectedUntil != 0, Leaving: pr.leaving,
 		})
 	}
 	return list
--- a/pkg/svcdoc/check.go
+++ b/pkg/svcdoc/check.go
@@ -84,7 +84,7 @@
 	}
 }
 
-func (chk *checker) weighs(text string) Weighs {
+func (chk *checker) weighs(text string) Objective {
 	switch text {
 	case "", Attainment.String():
 		return Attainment
--- a/pkg/svcdoc/svcdoc.go
+++ b/pkg/svcdoc/svcdoc.go
@@ -6,7 +6,7 @@
 	"amaranthvalve/pkg/graph"
 )
 
-//go:generate go tool stringer -type=Kind,Weighs -linecomment -output=svcdoc_string.go
+//go:generate go tool stringer -type=Kind,Objective -linecomment -output=svcdoc_string.go
 
 // Kind is the kind of a stage.
 type Kind int
@@ -20,14 +20,14 @@
 	Call                 // call
 )
 
-// Weighs is the measure that the owner of a service prioritizes where attainment of the
+// Objective is the measure that the owner of a service prioritizes where attainment of the
 // targets and low cost can't both be had.
-type Weighs int
+type Objective int
 
 // The measures.
 const (
-	Attainment Weighs = iota // attainment
-	Cost                     // cost
+	Attainment Objective = iota // attainment
+	Cost                        // cost
 )
 
 // Document is a checked service document. The zero value names no service; documents are
@@ -35,7 +35,7 @@
 type Document struct {
 	raw    rawDoc
 	kinds  []Kind
-	weighs Weighs
+	weighs Objective
 	graph  graph.Graph
 }
 
@@ -45,8 +45,8 @@
 // Owner returns the team that owns the document.
 func (doc *Document) Owner() string { return doc.raw.Owner }
 
-// Weighs returns the measure that the owner prioritizes.
-func (doc *Document) Weighs() Weighs { return doc.weighs }
+// Objective returns the measure that the owner prioritizes.
+func (doc *Document) Objective() Objective { return doc.weighs }
 
 // Priority returns the service's priority among services, 0 to 9; higher values come first.
 func (doc *Document) Priority() int { return doc.raw.Priority }
