--- a/internal/contr/claims.go
+++ b/internal/contr/claims.go
@@ -74,7 +74,7 @@
 	requestedAt clock.Milli
 	appended    bool
 	done        bool
-	// cancelled is the equivalent of done that the appender's goroutine may read.
+	// cancelled has the same value as done, for the appender's goroutine.
 	cancelled atomic.Bool
 	reply     chan ClaimResult
 }
@@ -151,8 +151,8 @@
 	case claim.Answer:
 		cct.answer(pcl, st, res)
 	default:
-		// Run or Refuse. Either the ledger knows the key, or it has expired, and then the
-		// result is unknown already.
+		// Run or Refuse. LookedUp is set for both: either the ledger knows the key, or the key
+		// has expired, and then the result is unknown anyway.
 		cct.finish(pcl, ClaimResult{Move: move, Result: res, LookedUp: true})
 	}
 }
--- a/internal/contr/status.go
+++ b/internal/contr/status.go
@@ -13,17 +13,17 @@
 
 func (ctl *Control) endpointStatus() []wire.StatusEndpoint {
 	list := []wire.StatusEndpoint{}
-	for pool, sts := range ctl.set.Runner.Standings() {
-		for _, std := range sts {
+	for pool, states := range ctl.set.Runner.EndpointStates() {
+		for _, eps := range states {
 			state := "well"
 			switch {
-			case std.Leaving:
+			case eps.Leaving:
 				state = "leaving"
-			case std.Ejected:
+			case eps.Ejected:
 				state = "benched"
 			}
 			list = append(list, wire.StatusEndpoint{
-				Pool: pool, ID: std.ID, Addr: std.Addr, InFlight: std.InFlight, Limit: std.Limit, Latency: std.Latency, State: state,
+				Pool: pool, ID: eps.ID, Addr: eps.Addr, InFlight: eps.InFlight, Limit: eps.Limit, Latency: eps.Latency, State: state,
 			})
 		}
 	}
--- a/internal/feed/append_test.go
+++ b/internal/feed/append_test.go
@@ -33,10 +33,10 @@
 	until := clock.Clock{}.Now() + clock.Minute
 	app.Add(Record{Body: json.RawMessage(`"ahead"`), Expires: until})
 	gom.Eventually(func() int { return len(plt.PendingAppends(platf.StreamClaims)) }).Should(gomega.Equal(1))
-	var over atomic.Bool
-	app.Add(Record{Body: json.RawMessage(`"given up"`), Expires: until, Cancelled: over.Load})
+	var cancelled atomic.Bool
+	app.Add(Record{Body: json.RawMessage(`"given up"`), Expires: until, Cancelled: cancelled.Load})
 	app.Add(Record{Body: json.RawMessage(`"behind"`), Expires: until})
-	over.Store(true)
+	cancelled.Store(true)
 	plt.SetFaults(stand.Faults{})
 
 	gom.Eventually(app.Empty, "10s").Should(gomega.BeTrue())
--- a/internal/filter/entry.go
+++ b/internal/filter/entry.go
@@ -23,7 +23,8 @@
 	MaxBody       = 4 << 20
 	maxTokens     = 8192
 	defaultTokens = 16
-	// staleRetryAfter and stopRetryAfter are retry-after delays, meant for another instance.
+	// staleRetryAfter and stopRetryAfter are the retry-after delays of callers that are referred to
+	// another instance.
 	staleRetryAfter = clock.Second
 	stopRetryAfter  = 100 * clock.Milli(1)
 )
--- a/internal/filter/filter.go
+++ b/internal/filter/filter.go
@@ -24,7 +24,7 @@
 	Workspace string
 	Token     string
 	Submit    wire.Submit
-	// OnOpen is called when a stream starts, Take with each of its tokens. Both are nil if the
+	// OnOpen is called when a stream starts, OnToken with each of its tokens. Both are nil if the
 	// caller requests a single complete answer.
 	OnOpen  func(resume string)
 	OnToken func(wire.Token) error
--- a/internal/stage/attempt.go
+++ b/internal/stage/attempt.go
@@ -122,7 +122,7 @@
 		return res, false
 	}
 	if end == ending.GaveUp && att.stg.Kind() == svcdoc.Generate {
-		// A stream is given up only from the caller's side, so that there is no reader left.
+		// Only the caller's side abandons a stream, so that no reader is left.
 		return outcm.New(res.Outcome(), outcm.CallerGone, res.Detail()), false
 	}
 	if end == ending.GaveUp {
--- a/internal/stage/job.go
+++ b/internal/stage/job.go
@@ -34,7 +34,7 @@
 	MaxTokens int
 	// Have are the tokens that the caller of a resumed stream already has.
 	Have []string
-	// Stream names the last generation of a resumed stream, if known.
+	// Stream is the engine's stream that is to be resumed, if known.
 	Stream StreamRef
 	// OnOpen is called when a generation starts or moves to another engine, OnToken with each
 	// token if the last stage generates. Both may be nil.
--- a/internal/stage/runner.go
+++ b/internal/stage/runner.go
@@ -130,8 +130,8 @@
 	pl.gate.Pool().Leave(id)
 }
 
-// Standings lists all endpoints by pool, for operators.
-func (rnr *Runner) Standings() map[string][]route.EndpointState {
+// EndpointStates lists the states of all endpoints by pool, for operators.
+func (rnr *Runner) EndpointStates() map[string][]route.EndpointState {
 	all := map[string][]route.EndpointState{}
 	for name, pl := range rnr.allPools() {
 		pl.mtx.Lock()
@@ -195,7 +195,7 @@
 
 // Admit decides on arrival whether a request can be answered in time: it compares the queueing
 // times of its pools and the estimated times of its stages with its deadline. A refusal at this
-// point costs the endpoints nothing; a later one would have used part of their time without an answer.
+// point costs the endpoints nothing. A refusal later on would have wasted some of their time.
 func (rnr *Runner) Admit(job *Job) outcm.Result {
 	worst := clock.Milli(0)
 	waits := make([]clock.Milli, job.Doc.Stages())
--- a/internal/walk/walk.go
+++ b/internal/walk/walk.go
@@ -1,11 +1,11 @@
 // Package walk runs one request through the graph of its stages, in both kinds of instance.
 //
-// A stage starts as soon as its inputs are available, in parallel with whatever still runs
-// (package graph). What a stage is, a call with an effect or items that other instances batch,
-// and what a failure means is decided by the caller. This package has what is common to all: a
-// failed stage cancels those in parallel to it, because their results can't be used, and the
-// end of each of them is still awaited, because its results or effects exist whatever the
-// outcome of the request.
+// A stage starts as soon as its inputs are available, in parallel with all stages that are still
+// running (package graph). The caller decides what a stage is (a call with an effect, or items
+// that other instances batch) and what a failure means. This package has the common rules: when
+// a stage fails, the stages that run in parallel with it are cancelled, because their results
+// can't be used. Their ends are still awaited, because their results and effects exist whatever
+// the outcome of the request is.
 package walk
 
 import (
@@ -18,7 +18,7 @@
 // Outcome is how a walk continues after the end of a stage.
 type Outcome int
 
-// The ways to continue.
+// The outcomes of the end of a stage.
 const (
 	// Done: the stage is done, and stages that depend on it may start.
 	Done Outcome = iota
@@ -51,31 +51,31 @@
 
 // Run runs all stages and returns true, or false if one has failed. It returns after everything
 // that it started has ended.
-func Run[T any](ctx context.Context, run *graph.Run, stp Callbacks[T]) bool {
+func Run[T any](ctx context.Context, run *graph.Run, cbs Callbacks[T]) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	ends := make(chan stageEnd[T])
 	running := 0
 	for !run.Finished() {
-		for _, stg := range run.Start(stp.Estimate) {
-			work := stp.Start(stg)
+		for _, stg := range run.Start(cbs.Estimate) {
+			work := cbs.Start(stg)
 			running++
 			go func() { ends <- stageEnd[T]{stg: stg, out: work(ctx)} }()
 		}
 		end := <-ends
 		running--
-		switch stp.OnEnd(end.stg, end.out) {
+		switch cbs.OnEnd(end.stg, end.out) {
 		case Failed:
 			cancel()
 			for ; running > 0; running-- {
 				late := <-ends
-				stp.OnCancelled(late.stg, late.out)
+				cbs.OnCancelled(late.stg, late.out)
 			}
 			return false
 		case Done:
 			for _, unused := range run.Done(end.stg) {
-				if stp.OnUnused != nil {
-					stp.OnUnused(unused)
+				if cbs.OnUnused != nil {
+					cbs.OnUnused(unused)
 				}
 			}
 		}
