--- a/internal/entry/answers_test.go
+++ b/internal/entry/answers_test.go
@@ -14,16 +14,16 @@
 	"amaranthvalve/internal/wire"
 )
 
-var _ = ginkgo.Describe("no result is lost, doubled or crossed", func() {
+var _ = ginkgo.Describe("no result is lost, duplicated or swapped", func() {
 	// An encoder answers with another attempt's ID, as a late answer of an
 	// abandoned attempt would. The instance drops that answer and retries the
 	// stage, which is idempotent, so that the caller receives its own answer.
 	ginkgo.It("drops an answer that belongs to another attempt", func() {
-		wld := newWorld(1, "")
-		for _, ept := range wld.pools["encoders"] {
+		tbd := newTestbed(1, "")
+		for _, ept := range tbd.pools["encoders"] {
 			ept.SetFaults(stand.Faults{WrongAttempt: 1})
 		}
-		ans := wld.call(0, "planning", wire.Submit{Input: "mine", MaxTokens: 3})
+		ans := tbd.call(0, "planning", wire.Submit{Input: "mine", MaxTokens: 3})
 		expect(ans.Outcome).To(equal("done"), ans.Detail)
 		expect(ans.Output).To(equal(generated("mine", 3)))
 		expect(ans.Stages[0].Attempts).To(gomega.BeNumerically(">", 1))
@@ -33,22 +33,22 @@
 	// have run and must not run again: the caller and every repeat receive
 	// "unknown".
 	ginkgo.It("never repeats a booking whose answer was foreign", func() {
-		wld := newWorld(2, "")
-		wld.pools["booking"][0].SetFaults(stand.Faults{WrongAttempt: 1})
-		ans := wld.call(0, "booking", booking("w1"))
+		tbd := newTestbed(2, "")
+		tbd.pools["booking"][0].SetFaults(stand.Faults{WrongAttempt: 1})
+		ans := tbd.call(0, "booking", booking("w1"))
 		expect(ans.Outcome).To(equal("unknown"))
 		expect(ans.Reason).To(equal("wrong_attempt"))
-		again := wld.call(1, "booking", booking("w1"))
+		again := tbd.call(1, "booking", booking("w1"))
 		expect(again.Outcome).To(equal("unknown"))
-		expect(wld.ran(workspace, "w1")).To(equal(1))
+		expect(tbd.ran(workspace, "w1")).To(equal(1))
 	})
 
 	// 100 concurrent requests while encoders cut connections, lose replies and
 	// answer with foreign attempt IDs. Each caller receives the answer to its own
 	// input or a failure, never another request's answer.
-	ginkgo.It("never hands an answer to another request", func() {
-		wld := newWorld(2, "")
-		for _, ept := range wld.pools["encoders"] {
+	ginkgo.It("never returns an answer to another request", func() {
+		tbd := newTestbed(2, "")
+		for _, ept := range tbd.pools["encoders"] {
 			ept.SetFaults(stand.Faults{WrongAttempt: 10, LoseReplies: 10, Cut: 10})
 		}
 		done := 0
@@ -60,7 +60,7 @@
 				defer ginkgo.GinkgoRecover()
 				defer wgr.Done()
 				input := fmt.Sprintf("request %d", i)
-				ans := wld.call(i%2, "planning", wire.Submit{Input: input, MaxTokens: 2})
+				ans := tbd.call(i%2, "planning", wire.Submit{Input: input, MaxTokens: 2})
 				mtx.Lock()
 				defer mtx.Unlock()
 				if ans.Outcome == "done" {
@@ -76,29 +76,29 @@
 	// Two workspaces use the same idempotency key. Each booking runs once and each
 	// caller receives its own answer. Another body under a used key is refused and
 	// does not run.
-	ginkgo.It("keeps two workspaces with one key apart", func() {
-		wld := newWorld(1, "")
-		text := wld.read("booking") + "\n[[workspace]]\nname = \"downs-civil\"\n"
-		wld.publish(0, "booking", text)
+	ginkgo.It("separates two workspaces with one key", func() {
+		tbd := newTestbed(1, "")
+		text := tbd.read("booking") + "\n[[workspace]]\nname = \"downs-civil\"\n"
+		tbd.publish(0, "booking", text)
 		mine, theirs := booking("k"), booking("k")
 		theirs.Input = "their possession"
-		expect(wld.call(0, "booking", mine).Output).To(equal("confirm(possession k)"))
-		expect(wld.callAs("downs-civil", 0, "booking", theirs).Output).To(equal("confirm(their possession)"))
+		expect(tbd.call(0, "booking", mine).Output).To(equal("confirm(possession k)"))
+		expect(tbd.callAs("downs-civil", 0, "booking", theirs).Output).To(equal("confirm(their possession)"))
 		other := booking("k")
 		other.Input = "something else"
-		ans := wld.call(0, "booking", other)
+		ans := tbd.call(0, "booking", other)
 		expect(ans.Outcome + " " + ans.Reason).To(equal("not_run key_conflict"))
-		expect(wld.ran(workspace, "k")).To(equal(1))
-		expect(wld.ran("downs-civil", "k")).To(equal(1))
+		expect(tbd.ran(workspace, "k")).To(equal(1))
+		expect(tbd.ran("downs-civil", "k")).To(equal(1))
 	})
 })
 
 var _ = ginkgo.Describe("a caller receives its whole answer", func() {
-	stream := func(wld *world, seeds []string, tokens int, each func(int)) (wire.Answer, string) {
+	stream := func(tbd *testbed, seeds []string, tokens int, each func(int)) (wire.Answer, string) {
 		text := ""
 		n := 0
 		cli := caller.New(seeds, workspace, "", "dc1")
-		ctx, cancel := context.WithTimeout(wld.ctx, 20*time.Second)
+		ctx, cancel := context.WithTimeout(tbd.ctx, 20*time.Second)
 		defer cancel()
 		ans := cli.Call(ctx, "planning", wire.Submit{Input: "plan", Stream: true, MaxTokens: tokens}, func(tok wire.Token) {
 			text += tok.Text
@@ -112,14 +112,14 @@
 
 	// The first stream of each of the two engines is cut, after every possible number
 	// of tokens. The caller receives every token once and in order.
-	ginkgo.It("goes on after a cut at every token boundary", func() {
-		wld := newWorld(1, "")
+	ginkgo.It("continues after a cut at every token boundary", func() {
+		tbd := newTestbed(1, "")
 		const tokens = 6
 		for after := range tokens + 1 {
-			for _, ept := range wld.pools["planners"] {
+			for _, ept := range tbd.pools["planners"] {
 				ept.SetFaults(stand.Faults{CutAfter: after, CutStreams: 1})
 			}
-			ans, text := stream(wld, []string{wld.nodes[0].CallerAddr()}, tokens, nil)
+			ans, text := stream(tbd, []string{tbd.nodes[0].CallerAddr()}, tokens, nil)
 			expect(ans.Outcome).To(equal("done"), "cut after %d: %s", after, ans.Detail)
 			expect(text).To(equal(generated("plan", tokens)), "cut after %d", after)
 		}
@@ -127,15 +127,15 @@
 
 	// The engine crashes in the middle of a stream: its connections break and its
 	// port is closed. Another engine resumes at the next token index.
-	ginkgo.It("goes on at another engine when one dies", func() {
-		wld := newWorld(1, "")
+	ginkgo.It("continues at another engine when one crashes", func() {
+		tbd := newTestbed(1, "")
 		var once sync.Once
-		ans, text := stream(wld, []string{wld.nodes[0].CallerAddr()}, 40, func(n int) {
+		ans, text := stream(tbd, []string{tbd.nodes[0].CallerAddr()}, 40, func(n int) {
 			if n == 5 {
 				once.Do(func() {
-					for i, ept := range wld.pools["planners"] {
+					for i, ept := range tbd.pools["planners"] {
 						if len(ept.Executions()) > 0 {
-							wld.servers[wld.pools["planners"][i].ID()].Close()
+							tbd.servers[tbd.pools["planners"][i].ID()].Close()
 							break
 						}
 					}
@@ -149,15 +149,15 @@
 	// The streaming instance is killed. The caller's connection ends without the
 	// end event, which marks the answer as incomplete. The client resumes at
 	// another instance with its resume token and the tokens received so far.
-	ginkgo.It("is taken up at another instance when the first is killed", func() {
-		wld := newWorld(2, "")
+	ginkgo.It("is resumed at another instance when the first is killed", func() {
+		tbd := newTestbed(2, "")
 		var once sync.Once
-		ans, text := stream(wld, []string{wld.nodes[0].CallerAddr(), wld.nodes[1].CallerAddr()}, 40, func(n int) {
+		ans, text := stream(tbd, []string{tbd.nodes[0].CallerAddr(), tbd.nodes[1].CallerAddr()}, 40, func(n int) {
 			if n != 5 {
 				return
 			}
 			once.Do(func() {
-				for _, nod := range wld.nodes {
+				for _, nod := range tbd.nodes {
 					if nod.hasInFlight() {
 						go nod.Kill()
 						break
@@ -171,25 +171,25 @@
 
 	// A workspace sends the resume token of another workspace, a forged one, or one
 	// for a different input. It receives nothing of the stream, and nothing runs.
-	ginkgo.It("gives a guessed or foreign token nothing", func() {
-		wld := newWorld(1, "")
-		wld.publish(0, "planning", wld.read("planning")+"\n[[workspace]]\nname = \"downs-civil\"\n")
-		nod := wld.nodes[0]
+	ginkgo.It("is not revealed for a guessed or foreign token", func() {
+		tbd := newTestbed(1, "")
+		tbd.publish(0, "planning", tbd.read("planning")+"\n[[workspace]]\nname = \"downs-civil\"\n")
+		nod := tbd.nodes[0]
 		tkn := ""
 		cli := caller.New([]string{nod.CallerAddr()}, workspace, "", "")
 		cli.OnOpen = func(opn wire.Open) { tkn = opn.Resume }
-		ans := cli.Call(wld.ctx, "planning", wire.Submit{Input: "secret", Stream: true, MaxTokens: 2}, nil)
+		ans := cli.Call(tbd.ctx, "planning", wire.Submit{Input: "secret", Stream: true, MaxTokens: 2}, nil)
 		expect(ans.Outcome).To(equal("done"))
-		before := wld.executions()
+		before := tbd.executions()
 		for _, sub := range []wire.Submit{
 			{Input: "secret", MaxTokens: 2, Resume: &wire.Resume{Token: tkn}},
 			{Input: "secret", MaxTokens: 2, Resume: &wire.Resume{Token: "AAAA" + tkn[4:]}},
 			{Input: "other", MaxTokens: 2, Resume: &wire.Resume{Token: tkn}},
 		} {
-			ans := wld.callAs("downs-civil", 0, "planning", sub)
+			ans := tbd.callAs("downs-civil", 0, "planning", sub)
 			expect(ans.Outcome + " " + ans.Reason).To(equal("not_run bad_resume"))
 		}
-		expect(wld.executions()).To(equal(before))
+		expect(tbd.executions()).To(equal(before))
 	})
 })
 
--- a/internal/entry/drains_test.go
+++ b/internal/entry/drains_test.go
@@ -16,19 +16,19 @@
 )
 
 var _ = ginkgo.Describe("leaving and stopping", func() {
-	// An encoder declares in its answers and reports that it is leaving, while the
-	// instance list is out. Both instances learn of it and send it no new requests
-	// after a few seconds.
-	ginkgo.It("an endpoint that leaves gets no new work, with the instance list down", func() {
-		wld := newWorld(2, "")
-		wld.plt.SetListFaults(stand.Faults{Outage: true})
-		leaving := wld.pools["encoders"][0]
+	// An encoder states in its answers and in its load reports that it is leaving,
+	// while the instance list is unavailable. After a few seconds neither instance
+	// sends it new requests.
+	ginkgo.It("a leaving endpoint receives no new requests, although the instance list is unavailable", func() {
+		tbd := newTestbed(2, "")
+		tbd.plt.SetListFaults(stand.Faults{Outage: true})
+		leaving := tbd.pools["encoders"][0]
 		leaving.SetFaults(stand.Faults{Leave: true})
 		left := time.Now()
 		last := time.Now()
 		before := len(leaving.Executions())
 		for time.Since(left) < 4*time.Second {
-			expect(wld.call(int(time.Since(left)/time.Millisecond)%2, "planning", wire.Submit{Input: "x", MaxTokens: 1}).Outcome).To(equal("done"))
+			expect(tbd.call(int(time.Since(left)/time.Millisecond)%2, "planning", wire.Submit{Input: "x", MaxTokens: 1}).Outcome).To(equal("done"))
 			if now := len(leaving.Executions()); now != before {
 				before, last = now, time.Now()
 			}
@@ -43,42 +43,42 @@
 	// and callers still use their cached address. No request is interrupted; once
 	// cached addresses have expired the instance refuses new requests, finishes those
 	// in flight and exits.
-	ginkgo.It("a planned stop cuts nothing off", func() {
-		wld := newWorld(2, "")
-		wld.pools["booking"][0].SetFaults(stand.Faults{SlowMs: 4000})
+	ginkgo.It("a planned shutdown interrupts no request", func() {
+		tbd := newTestbed(2, "")
+		tbd.pools["booking"][0].SetFaults(stand.Faults{SlowMs: 4000})
 		var wgr sync.WaitGroup
 		var slow, streamed wire.Answer
 		text := ""
 		wgr.Add(2)
 		go func() {
 			defer wgr.Done()
-			slow = wld.call(0, "booking", booking("slow"))
+			slow = tbd.call(0, "booking", booking("slow"))
 		}()
 		go func() {
 			defer wgr.Done()
-			cli := caller.New([]string{wld.nodes[0].CallerAddr()}, workspace, "", "")
-			streamed = cli.CallAt(wld.ctx, wld.nodes[0].CallerAddr(), "planning", wire.Submit{Input: "long", Stream: true, MaxTokens: 900}, func(tok wire.Token) { text += tok.Text })
+			cli := caller.New([]string{tbd.nodes[0].CallerAddr()}, workspace, "", "")
+			streamed = cli.CallAt(tbd.ctx, tbd.nodes[0].CallerAddr(), "planning", wire.Submit{Input: "long", Stream: true, MaxTokens: 900}, func(tok wire.Token) { text += tok.Text })
 		}()
-		until(3*time.Second, wld.nodes[0].hasInFlight)
+		until(3*time.Second, tbd.nodes[0].hasInFlight)
 		var stopped atomic.Bool
 		began := time.Now()
-		go func() { wld.nodes[0].Stop(context.Background()); stopped.Store(true) }()
+		go func() { tbd.nodes[0].Stop(context.Background()); stopped.Store(true) }()
 		served := 0
 		for time.Since(began) < 400*time.Millisecond {
-			expect(wld.call(0, "planning", wire.Submit{Input: "kept", MaxTokens: 1}).Outcome).To(equal("done"))
+			expect(tbd.call(0, "planning", wire.Submit{Input: "kept", MaxTokens: 1}).Outcome).To(equal("done"))
 			served++
 		}
 		expect(served).To(gomega.BeNumerically(">", 3))
 		until(2*time.Second, func() bool {
-			ent, err := caller.New([]string{wld.nodes[1].CallerAddr()}, workspace, "", "").Entries(wld.ctx, "planning")
-			return err == nil && len(ent.Entries) == 1 && ent.Entries[0].Addr == wld.nodes[1].CallerAddr()
+			ent, err := caller.New([]string{tbd.nodes[1].CallerAddr()}, workspace, "", "").Entries(tbd.ctx, "planning")
+			return err == nil && len(ent.Entries) == 1 && ent.Entries[0].Addr == tbd.nodes[1].CallerAddr()
 		})
 		wgr.Wait()
 		expect(slow.Outcome).To(equal("done"), slow.Reason)
 		expect(streamed.Outcome).To(equal("done"), streamed.Reason)
 		expect(text).To(equal(generated("long", 900)))
 		until(5*time.Second, stopped.Load)
-		expect(wld.call(1, "booking", booking("slow")).Outcome).To(equal("done"))
-		expect(wld.ran(workspace, "slow")).To(equal(1))
+		expect(tbd.call(1, "booking", booking("slow")).Outcome).To(equal("done"))
+		expect(tbd.ran(workspace, "slow")).To(equal(1))
 	})
 })
--- a/internal/entry/once_test.go
+++ b/internal/entry/once_test.go
@@ -22,14 +22,14 @@
 // claimPending sends bookings to the first instance until the log, which delays appends, has
 // the claim of an abandoned attempt pending, and returns its key and its answer. An attempt
 // whose deadline passes before its claim is sent leaves no claim.
-func (wld *world) claimPending(name string) (key string, ans wire.Answer) {
+func (tbd *testbed) claimPending(name string) (key string, ans wire.Answer) {
 	answers := map[string]wire.Answer{}
 	until(10*time.Second, func() bool {
 		sub := firstBooking(fmt.Sprintf("%s-%d", name, len(answers)))
 		sub.DeadlineMs = shortDeadlineMs
-		answers[sub.Key] = wld.call(0, "booking", sub)
+		answers[sub.Key] = tbd.call(0, "booking", sub)
 		expect(answers[sub.Key].Outcome).To(equal("not_run"), answers[sub.Key].Reason)
-		for _, body := range wld.plt.PendingAppends("claims") {
+		for _, body := range tbd.plt.PendingAppends("claims") {
 			var ent claim.Entry
 			expect(json.Unmarshal(body, &ent)).To(gomega.Succeed())
 			key = strings.TrimPrefix(ent.Key, claim.FullKey(workspace, "booking", ""))
@@ -44,7 +44,7 @@
 	// 40 bookings are each sent to both instances at once. Each runs once; the
 	// second request joins the first attempt and receives its answer.
 	ginkgo.It("with one key at two instances at once", func() {
-		wld := newWorld(2, "")
+		tbd := newTestbed(2, "")
 		outcomes := map[string]int{}
 		var mtx sync.Mutex
 		var wgr sync.WaitGroup
@@ -53,7 +53,7 @@
 			go func() {
 				defer ginkgo.GinkgoRecover()
 				defer wgr.Done()
-				ans := wld.call(i%2, "booking", booking(fmt.Sprintf("both-%d", i/2)))
+				ans := tbd.call(i%2, "booking", booking(fmt.Sprintf("both-%d", i/2)))
 				mtx.Lock()
 				defer mtx.Unlock()
 				outcomes[ans.Outcome]++
@@ -62,7 +62,7 @@
 		}
 		wgr.Wait()
 		for i := range 40 {
-			expect(wld.ran(workspace, fmt.Sprintf("both-%d", i))).To(equal(1))
+			expect(tbd.ran(workspace, fmt.Sprintf("both-%d", i))).To(equal(1))
 		}
 		expect(outcomes["done"]).To(equal(80))
 	})
@@ -70,125 +70,125 @@
 	// The log appends the claim, but its reply is lost. The instance appends the
 	// claim again, finds its own record, and the booking runs exactly once.
 	ginkgo.It("when replies to appends are lost after the effect", func() {
-		wld := newWorld(2, "")
+		tbd := newTestbed(2, "")
 		for i := range 10 {
-			wld.plt.SetFaults(stand.Faults{LoseReplies: 2})
+			tbd.plt.SetFaults(stand.Faults{LoseReplies: 2})
 			key := fmt.Sprintf("lost-%d", i)
-			ans := wld.call(i%2, "booking", booking(key))
+			ans := tbd.call(i%2, "booking", booking(key))
 			expect(ans.Outcome).To(equal("done"), ans.Detail)
-			expect(wld.call((i+1)%2, "booking", booking(key)).Outcome).To(equal("done"))
-			expect(wld.ran(workspace, key)).To(equal(1))
+			expect(tbd.call((i+1)%2, "booking", booking(key)).Outcome).To(equal("done"))
+			expect(tbd.ran(workspace, key)).To(equal(1))
 		}
 	})
 
-	// The instance is killed while the booking service executes the request. Its
-	// outcome cannot be known: a repeat at another instance receives "unknown", and
+	// The instance is killed while the booking service executes the request. The
+	// outcome of the request is not known: a repeat at another instance receives "unknown", and
 	// the booking does not run again.
 	ginkgo.It("when the instance is killed after the dispatch", func() {
-		wld := newWorld(2, "")
-		wld.pools["booking"][0].SetFaults(stand.Faults{SlowMs: 1500})
-		go wld.call(0, "booking", booking("killed"))
-		until(3*time.Second, func() bool { return len(wld.plt.Records("claims")) > 0 })
-		until(3*time.Second, wld.nodes[0].hasInFlight)
-		wld.nodes[0].Kill()
-		wld.pools["booking"][0].SetFaults(stand.Faults{})
-		ans := wld.call(1, "booking", booking("killed"))
+		tbd := newTestbed(2, "")
+		tbd.pools["booking"][0].SetFaults(stand.Faults{SlowMs: 1500})
+		go tbd.call(0, "booking", booking("killed"))
+		until(3*time.Second, func() bool { return len(tbd.plt.Records("claims")) > 0 })
+		until(3*time.Second, tbd.nodes[0].hasInFlight)
+		tbd.nodes[0].Kill()
+		tbd.pools["booking"][0].SetFaults(stand.Faults{})
+		ans := tbd.call(1, "booking", booking("killed"))
 		expect(ans.Outcome).To(gomega.Or(equal("unknown")), ans.Reason)
-		expect(wld.ran(workspace, "killed")).To(gomega.BeNumerically("<=", 1))
+		expect(tbd.ran(workspace, "killed")).To(gomega.BeNumerically("<=", 1))
 	})
 
 	// The connection breaks after the request was written. The request may have run,
 	// so that it is not retried, and every repeat receives "unknown".
 	ginkgo.It("when the endpoint is cut after the request was written", func() {
-		wld := newWorld(2, "")
-		wld.pools["booking"][0].SetFaults(stand.Faults{LoseReplies: 1})
-		ans := wld.call(0, "booking", booking("cut"))
+		tbd := newTestbed(2, "")
+		tbd.pools["booking"][0].SetFaults(stand.Faults{LoseReplies: 1})
+		ans := tbd.call(0, "booking", booking("cut"))
 		expect(ans.Outcome + " " + ans.Reason).To(equal("unknown connection_cut"))
-		expect(wld.call(1, "booking", booking("cut")).Outcome).To(equal("unknown"))
-		expect(wld.ran(workspace, "cut")).To(equal(1))
+		expect(tbd.call(1, "booking", booking("cut")).Outcome).To(equal("unknown"))
+		expect(tbd.ran(workspace, "cut")).To(equal(1))
 	})
 
 	// The endpoint first refuses and confirms that nothing ran, then accepts: the
 	// request is retried, runs once and is done.
-	ginkgo.It("and gets done when the endpoint had refused first", func() {
-		wld := newWorld(1, "")
-		wld.pools["booking"][0].SetFaults(stand.Faults{Refuse: 1})
-		expect(wld.call(0, "booking", booking("refused")).Outcome).To(equal("done"))
-		expect(wld.ran(workspace, "refused")).To(equal(1))
+	ginkgo.It("and is done when the endpoint refused it first", func() {
+		tbd := newTestbed(1, "")
+		tbd.pools["booking"][0].SetFaults(stand.Faults{Refuse: 1})
+		expect(tbd.call(0, "booking", booking("refused")).Outcome).To(equal("done"))
+		expect(tbd.ran(workspace, "refused")).To(equal(1))
 	})
 
 	// A reused connection breaks while the endpoint executes the request. Go's HTTP
 	// transport retries a POST by itself if it has a header Idempotency-Key; requests
 	// to endpoints have none, and the booking runs once.
 	ginkgo.It("over a reused connection that breaks", func() {
-		wld := newWorld(1, "")
-		expect(wld.call(0, "booking", booking("warm")).Outcome).To(equal("done"))
-		wld.pools["booking"][0].SetFaults(stand.Faults{LoseReplies: 1})
-		expect(wld.call(0, "booking", booking("reused")).Outcome).To(equal("unknown"))
-		expect(wld.ran(workspace, "reused")).To(equal(1))
+		tbd := newTestbed(1, "")
+		expect(tbd.call(0, "booking", booking("warm")).Outcome).To(equal("done"))
+		tbd.pools["booking"][0].SetFaults(stand.Faults{LoseReplies: 1})
+		expect(tbd.call(0, "booking", booking("reused")).Outcome).To(equal("unknown"))
+		expect(tbd.ran(workspace, "reused")).To(equal(1))
 	})
 
 	// The log is out. A booking that its caller sends for the first time is refused
 	// at once as not_run, with a retry-after delay; a repeat receives "unknown".
 	// After the outage a booking under the same key runs once.
 	ginkgo.It("in an outage of the log", func() {
-		wld := newWorld(2, "")
-		wld.plt.SetFaults(stand.Faults{Outage: true})
-		until(5*time.Second, func() bool { return wld.call(0, "booking", firstBooking("probe")).Reason == "log_unavailable" })
+		tbd := newTestbed(2, "")
+		tbd.plt.SetFaults(stand.Faults{Outage: true})
+		until(5*time.Second, func() bool { return tbd.call(0, "booking", firstBooking("probe")).Reason == "log_unavailable" })
 		began := time.Now()
-		ans := wld.call(0, "booking", firstBooking("out"))
+		ans := tbd.call(0, "booking", firstBooking("out"))
 		expect(ans.Outcome + " " + ans.Reason).To(equal("not_run log_unavailable"))
 		expect(ans.RetryAfterMs).To(gomega.BeNumerically(">", 0))
 		expect(time.Since(began)).To(gomega.BeNumerically("<", time.Second))
-		expect(wld.call(1, "booking", booking("out")).Outcome).To(equal("unknown"))
-		expect(wld.ran(workspace, "out")).To(equal(0))
-		expect(wld.call(0, "planning", wire.Submit{Input: "x", MaxTokens: 1}).Outcome).To(equal("done"))
-		wld.plt.SetFaults(stand.Faults{})
-		until(8*time.Second, func() bool { return wld.call(0, "booking", booking("out")).Outcome == "done" })
-		expect(wld.ran(workspace, "out")).To(equal(1))
+		expect(tbd.call(1, "booking", booking("out")).Outcome).To(equal("unknown"))
+		expect(tbd.ran(workspace, "out")).To(equal(0))
+		expect(tbd.call(0, "planning", wire.Submit{Input: "x", MaxTokens: 1}).Outcome).To(equal("done"))
+		tbd.plt.SetFaults(stand.Faults{})
+		until(8*time.Second, func() bool { return tbd.call(0, "booking", booking("out")).Outcome == "done" })
+		expect(tbd.ran(workspace, "out")).To(equal(1))
 	})
 
-	// Guards against a key that stays claimed by an abandoned attempt: its claim is appended
-	// to the log only after its caller was answered.
-	ginkgo.It("when a claim comes into the log after its attempt was given up", func() {
-		wld := newWorld(2, "")
-		wld.plt.SetFaults(stand.Faults{HoldAppends: true})
-		key, ans := wld.claimPending("slow")
+	// Guards against a key that stays claimed by an abandoned attempt whose claim reaches the
+	// log only after the caller was answered.
+	ginkgo.It("when a claim reaches the log after its attempt was abandoned", func() {
+		tbd := newTestbed(2, "")
+		tbd.plt.SetFaults(stand.Faults{HoldAppends: true})
+		key, ans := tbd.claimPending("slow")
 		expect(ans.Outcome + " " + ans.Reason).To(equal("not_run log_unavailable"))
-		expect(wld.ran(workspace, key)).To(equal(0))
-		expect(wld.plt.Records("claims")).To(gomega.BeEmpty())
-		wld.plt.SetFaults(stand.Faults{})
-		until(5*time.Second, func() bool { return len(wld.plt.Records("claims")) > 0 })
-		until(10*time.Second, func() bool { return wld.call(1, "booking", booking(key)).Outcome == "done" })
-		expect(wld.ran(workspace, key)).To(equal(1))
+		expect(tbd.ran(workspace, key)).To(equal(0))
+		expect(tbd.plt.Records("claims")).To(gomega.BeEmpty())
+		tbd.plt.SetFaults(stand.Faults{})
+		until(5*time.Second, func() bool { return len(tbd.plt.Records("claims")) > 0 })
+		until(10*time.Second, func() bool { return tbd.call(1, "booking", booking(key)).Outcome == "done" })
+		expect(tbd.ran(workspace, key)).To(equal(1))
 	})
 
 	// Guards against a key that stays claimed by an attempt that was abandoned before its
 	// claim was sent to the log.
-	ginkgo.It("when an attempt was given up before its claim was sent", func() {
-		wld := newWorld(2, "")
-		wld.plt.SetFaults(stand.Faults{HoldAppends: true})
-		wld.claimPending("ahead")
+	ginkgo.It("when an attempt was abandoned before its claim was sent", func() {
+		tbd := newTestbed(2, "")
+		tbd.plt.SetFaults(stand.Faults{HoldAppends: true})
+		tbd.claimPending("ahead")
 		sub := firstBooking("behind")
 		sub.DeadlineMs = shortDeadlineMs
-		expect(wld.call(0, "booking", sub).Outcome).To(equal("not_run"))
-		wld.plt.SetFaults(stand.Faults{})
-		until(10*time.Second, func() bool { return wld.call(1, "booking", booking("behind")).Outcome == "done" })
-		expect(wld.ran(workspace, "behind")).To(equal(1))
+		expect(tbd.call(0, "booking", sub).Outcome).To(equal("not_run"))
+		tbd.plt.SetFaults(stand.Faults{})
+		until(10*time.Second, func() bool { return tbd.call(1, "booking", booking("behind")).Outcome == "done" })
+		expect(tbd.ran(workspace, "behind")).To(equal(1))
 	})
 
 	// A key is repeated after its expiry, with a new expiry time. It is refused as
 	// expired with the outcome unknown, since the first request may have run.
 	ginkgo.It("when a key is repeated after its expiry", func() {
-		wld := newWorld(1, "")
-		wld.pools["booking"][0].SetFaults(stand.Faults{Refuse: 100})
+		tbd := newTestbed(1, "")
+		tbd.pools["booking"][0].SetFaults(stand.Faults{Refuse: 100})
 		sub := firstBooking("old")
 		sub.ExpiresMs = clock.Clock{}.Now() + 1500
-		expect(wld.call(0, "booking", sub).Outcome).To(equal("not_run"))
-		wld.pools["booking"][0].SetFaults(stand.Faults{})
+		expect(tbd.call(0, "booking", sub).Outcome).To(equal("not_run"))
+		tbd.pools["booking"][0].SetFaults(stand.Faults{})
 		until(4*time.Second, func() bool { return clock.Clock{}.Now() > sub.ExpiresMs })
-		ans := wld.call(0, "booking", booking("old"))
+		ans := tbd.call(0, "booking", booking("old"))
 		expect(ans.Outcome + " " + ans.Reason).To(equal("unknown key_expired"))
-		expect(wld.ran(workspace, "old")).To(equal(0))
+		expect(tbd.ran(workspace, "old")).To(equal(0))
 	})
 })
--- a/internal/entry/ops.go
+++ b/internal/entry/ops.go
@@ -31,12 +31,12 @@
 
 func (nod *Node) showDoc(wrt http.ResponseWriter, req *http.Request) {
 	service := pathvar.Vars(req)["service"]
-	hld, ok := nod.ctl.View().Doc(service)
+	dvr, ok := nod.ctl.View().Doc(service)
 	if !ok {
 		wire.WriteJSON(wrt, http.StatusNotFound, wire.ErrorBody{Error: "no document names a service " + service})
 		return
 	}
-	wire.WriteJSON(wrt, http.StatusOK, wire.Document{Service: service, Revision: hld.Revision(), Text: hld.Text()})
+	wire.WriteJSON(wrt, http.StatusOK, wire.Document{Service: service, Revision: dvr.Revision(), Text: dvr.Text()})
 }
 
 func (nod *Node) showHistory(wrt http.ResponseWriter, req *http.Request) {
--- a/internal/entry/refusals_test.go
+++ b/internal/entry/refusals_test.go
@@ -18,124 +18,124 @@
 type refusal struct {
 	reason  string
 	outcome string
-	send    func(wld *world) wire.Answer
-	// undo reverts the changes that send made to the world.
-	undo func(wld *world)
+	send    func(tbd *testbed) wire.Answer
+	// undo reverts the changes that send made to the testbed.
+	undo func(tbd *testbed)
 }
 
-func setRateLimit(wld *world, line string) {
-	text := strings.Replace(wld.read("booking"), "requests_per_second = 5000", line, 1)
-	wld.publish(0, "booking", text)
+func setRateLimit(tbd *testbed, line string) {
+	text := strings.Replace(tbd.read("booking"), "requests_per_second = 5000", line, 1)
+	tbd.publish(0, "booking", text)
 }
 
-func restoreDoc(wld *world) { wld.publish(0, "booking", wld.read("booking")) }
+func restoreDoc(tbd *testbed) { tbd.publish(0, "booking", tbd.read("booking")) }
 
-// occupy sends n requests that stay in flight for a while, and waits until all of them are:
-// a request sent before that could take the slot of one of them.
-func occupy(wld *world, n int) {
-	wld.pools["booking"][0].SetFaults(stand.Faults{SlowMs: 1500})
+// occupy sends n requests that stay in flight for a while, and waits until all of them are in
+// flight. A request sent earlier than that could take the slot of one of them.
+func occupy(tbd *testbed, n int) {
+	tbd.pools["booking"][0].SetFaults(stand.Faults{SlowMs: 1500})
 	for i := range n {
 		go func() {
-			ans := wld.call(0, "booking", booking(fmt.Sprintf("hold-%d-%d", n, i)))
-			ginkgo.GinkgoWriter.Printf("held: %s %s %s\n", ans.Outcome, ans.Reason, ans.Detail)
+			ans := tbd.call(0, "booking", booking(fmt.Sprintf("hold-%d-%d", n, i)))
+			ginkgo.GinkgoWriter.Printf("occupying request: %s %s %s\n", ans.Outcome, ans.Reason, ans.Detail)
 		}()
 	}
-	until(3*time.Second, func() bool { return wld.nodes[0].chn.InFlight() == n })
+	until(3*time.Second, func() bool { return tbd.nodes[0].chn.InFlight() == n })
 }
 
 var refusals = []refusal{
-	{reason: "unknown_service", send: func(wld *world) wire.Answer { return wld.call(0, "nothing", wire.Submit{}) }},
-	{reason: "unknown_workspace", send: func(wld *world) wire.Answer {
-		return wld.callAs("stranger", 0, "planning", wire.Submit{Input: "x"})
+	{reason: "unknown_service", send: func(tbd *testbed) wire.Answer { return tbd.call(0, "nothing", wire.Submit{}) }},
+	{reason: "unknown_workspace", send: func(tbd *testbed) wire.Answer {
+		return tbd.callAs("stranger", 0, "planning", wire.Submit{Input: "x"})
 	}},
-	{reason: "unknown_request_kind", send: func(wld *world) wire.Answer {
-		return wld.call(0, "planning", wire.Submit{Request: "fly"})
+	{reason: "unknown_request_kind", send: func(tbd *testbed) wire.Answer {
+		return tbd.call(0, "planning", wire.Submit{Request: "fly"})
 	}},
-	{reason: "bad_request", send: func(wld *world) wire.Answer {
-		return wld.call(0, "planning", wire.Submit{DeadlineMs: -1})
+	{reason: "bad_request", send: func(tbd *testbed) wire.Answer {
+		return tbd.call(0, "planning", wire.Submit{DeadlineMs: -1})
 	}},
-	{reason: "key_missing", send: func(wld *world) wire.Answer { return wld.call(0, "booking", wire.Submit{Input: "x"}) }},
-	{reason: "bad_resume", send: func(wld *world) wire.Answer {
-		return wld.call(0, "planning", wire.Submit{Resume: &wire.Resume{Token: "x"}})
+	{reason: "key_missing", send: func(tbd *testbed) wire.Answer { return tbd.call(0, "booking", wire.Submit{Input: "x"}) }},
+	{reason: "bad_resume", send: func(tbd *testbed) wire.Answer {
+		return tbd.call(0, "planning", wire.Submit{Resume: &wire.Resume{Token: "x"}})
 	}},
-	{reason: "workspace_rate", send: func(wld *world) wire.Answer {
-		setRateLimit(wld, "requests_per_second = 0.1\nburst = 1")
-		wld.call(0, "booking", wire.Submit{Input: "x", Request: "confirm", Key: "rate-0", ExpiresMs: -1})
+	{reason: "workspace_rate", send: func(tbd *testbed) wire.Answer {
+		setRateLimit(tbd, "requests_per_second = 0.1\nburst = 1")
+		tbd.call(0, "booking", wire.Submit{Input: "x", Request: "confirm", Key: "rate-0", ExpiresMs: -1})
 		sub := firstBooking("rate-1")
-		wld.call(0, "booking", firstBooking("rate-0"))
-		return wld.call(0, "booking", sub)
+		tbd.call(0, "booking", firstBooking("rate-0"))
+		return tbd.call(0, "booking", sub)
 	}, undo: restoreDoc},
-	{reason: "workspace_busy", send: func(wld *world) wire.Answer {
-		text := strings.Replace(wld.read("booking"), "in_flight = 512", "in_flight = 1", 1)
-		wld.publish(0, "booking", text)
-		occupy(wld, 1)
-		return wld.call(0, "booking", firstBooking("busy"))
-	}, undo: func(wld *world) {
-		wld.pools["booking"][0].SetFaults(stand.Faults{})
-		until(5*time.Second, func() bool { return wld.nodes[0].chn.InFlight() == 0 })
-		restoreDoc(wld)
+	{reason: "workspace_busy", send: func(tbd *testbed) wire.Answer {
+		text := strings.Replace(tbd.read("booking"), "in_flight = 512", "in_flight = 1", 1)
+		tbd.publish(0, "booking", text)
+		occupy(tbd, 1)
+		return tbd.call(0, "booking", firstBooking("busy"))
+	}, undo: func(tbd *testbed) {
+		tbd.pools["booking"][0].SetFaults(stand.Faults{})
+		until(5*time.Second, func() bool { return tbd.nodes[0].chn.InFlight() == 0 })
+		restoreDoc(tbd)
 	}},
-	{reason: "queue_full", send: func(wld *world) wire.Answer {
-		occupy(wld, 8)
-		return wld.call(0, "booking", firstBooking("full"))
-	}, undo: func(wld *world) {
-		wld.pools["booking"][0].SetFaults(stand.Faults{})
-		until(5*time.Second, func() bool { return wld.nodes[0].chn.InFlight() == 0 })
+	{reason: "queue_full", send: func(tbd *testbed) wire.Answer {
+		occupy(tbd, 8)
+		return tbd.call(0, "booking", firstBooking("full"))
+	}, undo: func(tbd *testbed) {
+		tbd.pools["booking"][0].SetFaults(stand.Faults{})
+		until(5*time.Second, func() bool { return tbd.nodes[0].chn.InFlight() == 0 })
 	}},
-	{reason: "deadline_too_short", send: func(wld *world) wire.Answer {
+	{reason: "deadline_too_short", send: func(tbd *testbed) wire.Answer {
 		sub := firstBooking("short")
 		sub.DeadlineMs = 1
-		return wld.call(0, "booking", sub)
+		return tbd.call(0, "booking", sub)
 	}},
-	{reason: "stage_refused", send: func(wld *world) wire.Answer {
-		wld.pools["booking"][0].SetFaults(stand.Faults{Refuse: 50})
-		return wld.call(0, "booking", firstBooking("refused"))
-	}, undo: func(wld *world) { wld.pools["booking"][0].SetFaults(stand.Faults{}) }},
-	{reason: "log_unavailable", send: func(wld *world) wire.Answer {
-		wld.plt.SetFaults(stand.Faults{Outage: true})
+	{reason: "stage_refused", send: func(tbd *testbed) wire.Answer {
+		tbd.pools["booking"][0].SetFaults(stand.Faults{Refuse: 50})
+		return tbd.call(0, "booking", firstBooking("refused"))
+	}, undo: func(tbd *testbed) { tbd.pools["booking"][0].SetFaults(stand.Faults{}) }},
+	{reason: "log_unavailable", send: func(tbd *testbed) wire.Answer {
+		tbd.plt.SetFaults(stand.Faults{Outage: true})
 		n := 0
 		until(5*time.Second, func() bool {
 			n++
-			return wld.call(0, "booking", firstBooking(fmt.Sprintf("probe-%d", n))).Reason == "log_unavailable"
+			return tbd.call(0, "booking", firstBooking(fmt.Sprintf("probe-%d", n))).Reason == "log_unavailable"
 		})
-		return wld.call(0, "booking", firstBooking("out"))
-	}, undo: func(wld *world) {
-		wld.plt.SetFaults(stand.Faults{})
-		until(8*time.Second, func() bool { return wld.call(0, "booking", booking("mended")).Outcome == "done" })
+		return tbd.call(0, "booking", firstBooking("out"))
+	}, undo: func(tbd *testbed) {
+		tbd.plt.SetFaults(stand.Faults{})
+		until(8*time.Second, func() bool { return tbd.call(0, "booking", booking("mended")).Outcome == "done" })
 	}},
-	{reason: "no_endpoint", send: func(wld *world) wire.Answer {
-		wld.pools["booking"][0].SetFaults(stand.Faults{Leave: true})
+	{reason: "no_endpoint", send: func(tbd *testbed) wire.Answer {
+		tbd.pools["booking"][0].SetFaults(stand.Faults{Leave: true})
 		n := 0
 		until(5*time.Second, func() bool {
 			n++
-			return wld.call(0, "booking", firstBooking(fmt.Sprintf("gone-%d", n))).Reason == "no_endpoint"
+			return tbd.call(0, "booking", firstBooking(fmt.Sprintf("gone-%d", n))).Reason == "no_endpoint"
 		})
-		return wld.call(0, "booking", firstBooking("gone"))
+		return tbd.call(0, "booking", firstBooking("gone"))
 	}},
-	{reason: "stale_view", send: func(wld *world) wire.Answer {
-		wld.setPartitioned(0, true)
-		until(10*time.Second, func() bool { return !wld.nodes[0].isReady() })
-		return wld.call(0, "planning", wire.Submit{Input: "x"})
-	}, undo: func(wld *world) {
-		wld.setPartitioned(0, false)
-		until(10*time.Second, wld.nodes[0].isReady)
+	{reason: "stale_view", send: func(tbd *testbed) wire.Answer {
+		tbd.setPartitioned(0, true)
+		until(10*time.Second, func() bool { return !tbd.nodes[0].isReady() })
+		return tbd.call(0, "planning", wire.Submit{Input: "x"})
+	}, undo: func(tbd *testbed) {
+		tbd.setPartitioned(0, false)
+		until(10*time.Second, tbd.nodes[0].isReady)
 	}},
-	{reason: "stopping", send: func(wld *world) wire.Answer {
-		wld.nodes[0].ctl.RefuseNewWork()
-		return wld.call(0, "planning", wire.Submit{Input: "x"})
+	{reason: "stopping", send: func(tbd *testbed) wire.Answer {
+		tbd.nodes[0].ctl.RefuseNewWork()
+		return tbd.call(0, "planning", wire.Submit{Input: "x"})
 	}},
 }
 
-var _ = ginkgo.Describe("a refusal is honest", func() {
+var _ = ginkgo.Describe("a refusal", func() {
 	// Every reason of refusal is provoked. The caller receives not_run, and the
 	// execution records of the test doubles show that nothing ran.
-	ginkgo.It("for each reason: not run means that nothing ran", func() {
-		wld := newWorld(2, "max_in_flight = 8")
+	ginkgo.It("as not_run means that nothing ran, for each reason", func() {
+		tbd := newTestbed(2, "max_in_flight = 8")
 		for _, rfs := range refusals {
 			ginkgo.By(rfs.reason)
-			ans := rfs.send(wld)
+			ans := rfs.send(tbd)
 			expect(ans.Outcome+" "+ans.Reason).To(equal("not_run "+rfs.reason), ans.Detail)
-			for _, epts := range wld.pools {
+			for _, epts := range tbd.pools {
 				for _, ept := range epts {
 					for _, exc := range ept.Executions() {
 						expect(exc.RequestID).NotTo(equal(ans.RequestID), rfs.reason)
@@ -143,18 +143,18 @@
 				}
 			}
 			if rfs.undo != nil {
-				rfs.undo(wld)
+				rfs.undo(tbd)
 			}
 		}
 	})
 
 	// A booking was done at one instance. An overloaded second instance refuses a
 	// repeat before it has looked up the key: it must not answer not_run.
-	ginkgo.It("does not say not run of a repeat that it has not looked up", func() {
-		wld := newWorld(2, "max_in_flight = 8")
-		expect(wld.call(1, "booking", booking("done-elsewhere")).Outcome).To(equal("done"))
-		occupy(wld, 8)
-		ans := wld.call(0, "booking", booking("done-elsewhere"))
+	ginkgo.It("is never not_run for a repeat whose key the instance has not looked up", func() {
+		tbd := newTestbed(2, "max_in_flight = 8")
+		expect(tbd.call(1, "booking", booking("done-elsewhere")).Outcome).To(equal("done"))
+		occupy(tbd, 8)
+		ans := tbd.call(0, "booking", booking("done-elsewhere"))
 		expect(ans.Outcome + " " + ans.Reason).To(equal("unknown queue_full"))
 		expect(ans.RetryAfterMs).To(gomega.BeNumerically(">", 0))
 	})
@@ -162,7 +162,7 @@
 	// The answer to a malformed request names the position and the reason, as given
 	// in docs/PROTOCOL.md, and nothing runs.
 	ginkgo.It("names position and reason of a malformed request", func() {
-		wld := newWorld(1, "")
+		tbd := newTestbed(1, "")
 		for body, want := range map[string]string{
 			`{"input": "x", "expires": 3}`: `unknown field "expires"`,
 			`{"input": `:                   "unexpected EOF",
@@ -170,7 +170,7 @@
 			``:                             "the body is empty",
 			`{"input": "x"} {`:             "text after the value",
 		} {
-			res, err := http.Post("http://"+wld.nodes[0].CallerAddr()+"/v1/services/planning/requests", "application/json", bytes.NewBufferString(body))
+			res, err := http.Post("http://"+tbd.nodes[0].CallerAddr()+"/v1/services/planning/requests", "application/json", bytes.NewBufferString(body))
 			expect(err).NotTo(haveOccurred())
 			var text bytes.Buffer
 			_, _ = text.ReadFrom(res.Body)
@@ -179,6 +179,6 @@
 			expect(text.String()).To(gomega.ContainSubstring(strings.ReplaceAll(want, `"`, `\"`)))
 			expect(res.Header.Get(wire.HeaderOutcome) + " " + res.Header.Get(wire.HeaderReason)).To(equal("not_run bad_request"))
 		}
-		expect(wld.executions()).To(equal(0))
+		expect(tbd.executions()).To(equal(0))
 	})
 })
--- a/internal/entry/stop_test.go
+++ b/internal/entry/stop_test.go
@@ -12,11 +12,11 @@
 	"github.com/onsi/gomega"
 )
 
-var _ = ginkgo.Describe("the end of a planned stop", func() {
+var _ = ginkgo.Describe("the end of a planned shutdown", func() {
 	// Guards against closing accepted connections without answering their requests.
 	ginkgo.It("answers on connections that were accepted", func() {
-		wld := newWorld(1, "")
-		nod := wld.nodes[0]
+		tbd := newTestbed(1, "")
+		nod := tbd.nodes[0]
 		stopped := make(chan struct{})
 		go func() {
 			nod.Stop(context.Background())
--- a/internal/entry/world_test.go
+++ b/internal/entry/testbed_test.go
@@ -50,9 +50,9 @@
 	haveOccurred = gomega.HaveOccurred
 )
 
-// world is a test environment of a platform, pools and instances in one process, connected
-// over the loopback interface.
-type world struct {
+// testbed is a platform, pools and instances in one process, connected over the loopback
+// interface.
+type testbed struct {
 	plt      *stand.Platform
 	platform *stand.Server
 	pools    map[string][]*stand.Endpoint
@@ -65,70 +65,70 @@
 	settings string
 }
 
-// newWorld starts the pools and the given number of instances and publishes the
+// newTestbed starts the pools and the given number of instances and publishes the
 // documents of the demo. lines are appended to the settings of each instance.
-func newWorld(nodes int, lines string) *world {
+func newTestbed(nodes int, lines string) *testbed {
 	ctx, cancel := context.WithCancel(context.Background())
 	ath, err := peer.NewAuthority()
 	expect(err).NotTo(haveOccurred())
-	wld := &world{
+	tbd := &testbed{
 		plt: stand.NewPlatform(clock.Clock{}, 3*clock.Day, 100), pools: map[string][]*stand.Endpoint{},
 		servers: map[string]*stand.Server{}, ath: ath, key: ident.NewID(), ctx: ctx, settings: lines,
 	}
-	wld.platform, err = stand.Serve("127.0.0.1:0", wld.plt.Handler())
+	tbd.platform, err = stand.Serve("127.0.0.1:0", tbd.plt.Handler())
 	expect(err).NotTo(haveOccurred())
 	ginkgo.DeferCleanup(func() {
-		wld.plt.SetFaults(stand.Faults{})
-		for _, nod := range wld.nodes {
+		tbd.plt.SetFaults(stand.Faults{})
+		for _, nod := range tbd.nodes {
 			nod.Kill()
 		}
 		cancel()
-		for _, srv := range wld.servers {
+		for _, srv := range tbd.servers {
 			srv.Close()
 		}
-		wld.platform.Close()
+		tbd.platform.Close()
 	})
-	wld.add("encoders", stand.NewEndpoint("encoder-1", 2, 16), stand.NewEndpoint("encoder-2", 2, 16))
-	wld.add("retrievers", stand.NewEndpoint("retriever-1", 2, 16))
-	wld.add("rerankers", stand.NewEndpoint("reranker-1", 2, 16))
-	wld.add("planners", stand.NewEngine("planner-1", 3, 16), stand.NewEngine("planner-2", 3, 16))
-	wld.add("booking", stand.NewEndpoint("booking-1", 5, 16))
+	tbd.add("encoders", stand.NewEndpoint("encoder-1", 2, 16), stand.NewEndpoint("encoder-2", 2, 16))
+	tbd.add("retrievers", stand.NewEndpoint("retriever-1", 2, 16))
+	tbd.add("rerankers", stand.NewEndpoint("reranker-1", 2, 16))
+	tbd.add("planners", stand.NewEngine("planner-1", 3, 16), stand.NewEngine("planner-2", 3, 16))
+	tbd.add("booking", stand.NewEndpoint("booking-1", 5, 16))
 	for range nodes {
-		wld.addNode()
+		tbd.addNode()
 	}
 	for _, service := range []string{"planning", "booking"} {
-		wld.publish(0, service, wld.read(service))
+		tbd.publish(0, service, tbd.read(service))
 	}
-	wld.awaitReady()
-	return wld
+	tbd.awaitReady()
+	return tbd
 }
 
 // read returns a document of the demo with limits too high to be reached.
-func (wld *world) read(service string) string {
+func (tbd *testbed) read(service string) string {
 	text, err := os.ReadFile(filepath.Join("..", "demo", service+".toml"))
 	expect(err).NotTo(haveOccurred())
 	wide := strings.NewReplacer("requests_per_second = 50", "requests_per_second = 5000", "in_flight = 32", "in_flight = 512")
 	return wide.Replace(string(text))
 }
 
-func (wld *world) add(pool string, epts ...*stand.Endpoint) {
+func (tbd *testbed) add(pool string, epts ...*stand.Endpoint) {
 	for _, ept := range epts {
 		srv, err := stand.Serve("127.0.0.1:0", ept.Handler())
 		expect(err).NotTo(haveOccurred())
-		wld.servers[ept.ID()] = srv
-		wld.pools[pool] = append(wld.pools[pool], ept)
+		tbd.servers[ept.ID()] = srv
+		tbd.pools[pool] = append(tbd.pools[pool], ept)
 		inst := wire.Instance{ID: ept.ID(), Addr: srv.Addr(), Pool: pool, Zone: "dc1", State: wire.StateLive}
-		go stand.Register(wld.ctx, "http://"+wld.platform.Addr(), inst)
+		go stand.Register(tbd.ctx, "http://"+tbd.platform.Addr(), inst)
 	}
 }
 
 // addNode starts an instance that reaches the platform through a relay of its
 // own, so that a test can partition this instance alone.
-func (wld *world) addNode() *Node {
-	rly := newRelay(wld.platform.Addr())
+func (tbd *testbed) addNode() *Node {
+	rly := newRelay(tbd.platform.Addr())
 	ginkgo.DeferCleanup(rly.close)
 	fresh := "fresh_ms = 3000"
-	if strings.Contains(wld.settings, "fresh_ms") {
+	if strings.Contains(tbd.settings, "fresh_ms") {
 		fresh = ""
 	}
 	text := fmt.Sprintf(`
@@ -142,25 +142,26 @@
 %s
 tls = { cert = "/dev/null", key = "/dev/null", ca = "/dev/null" }
 %s
-`, len(wld.nodes)%2+1, rly.addr(), wld.key, fresh, wld.settings)
+`, len(tbd.nodes)%2+1, rly.addr(), tbd.key, fresh, tbd.settings)
 	set, fts := conf.Parse([]byte(text))
 	expect(set).NotTo(gomega.BeNil(), "%v", fts.Err())
-	nod, err := New(set, wld.keys, zerolog.Nop())
+	nod, err := New(set, tbd.keys, zerolog.Nop())
 	expect(err).NotTo(haveOccurred())
-	// Partitioned is set before the link is used; tests switch it through the relay.
+	// Partitioned must be set before the link is used; tests start and end the partition
+	// through the relay.
 	nod.link.Partitioned = func(string) bool { return rly.cut.Load() && rly.cutPeers.Load() }
 	nod.Start()
-	wld.nodes = append(wld.nodes, nod)
-	wld.relays = append(wld.relays, rly)
+	tbd.nodes = append(tbd.nodes, nod)
+	tbd.relays = append(tbd.relays, rly)
 	return nod
 }
 
-func (wld *world) keys() (*tls.Config, *tls.Config, error) {
-	pair, err := wld.ath.Issue()
+func (tbd *testbed) keys() (*tls.Config, *tls.Config, error) {
+	pair, err := tbd.ath.Issue()
 	if err != nil {
 		return nil, nil, err
 	}
-	server, client := peer.TLSConfigsFrom(func() (*tls.Certificate, *x509.CertPool, error) { return pair, wld.ath.Pool(), nil })
+	server, client := peer.TLSConfigsFrom(func() (*tls.Certificate, *x509.CertPool, error) { return pair, tbd.ath.Pool(), nil })
 	return server, client, nil
 }
 
@@ -169,23 +170,23 @@
 	return ready
 }
 
-func (wld *world) publish(node int, service, text string) wire.Published {
-	nod := wld.nodes[node]
+func (tbd *testbed) publish(node int, service, text string) wire.Published {
+	nod := tbd.nodes[node]
 	until(8*time.Second, nod.isReady)
 	base := int64(0)
-	if hld, ok := nod.ctl.View().Doc(service); ok {
-		base = hld.Revision()
+	if dvr, ok := nod.ctl.View().Doc(service); ok {
+		base = dvr.Revision()
 	}
-	pub := nod.ctl.Publish(wld.ctx, service, wire.Publish{ID: ident.NewID(), Base: base, Text: text, By: "test", WaitMs: 8 * clock.Second})
+	pub := nod.ctl.Publish(tbd.ctx, service, wire.Publish{ID: ident.NewID(), Base: base, Text: text, By: "test", WaitMs: 8 * clock.Second})
 	expect(pub.Verdict).To(equal("accepted"), pub.Detail)
 	return pub
 }
 
-func (wld *world) awaitReady() {
-	for _, nod := range wld.nodes {
+func (tbd *testbed) awaitReady() {
+	for _, nod := range tbd.nodes {
 		until(8*time.Second, func() bool {
-			st := nod.ctl.Status(wld.ctx)
-			return st.Ready && len(st.Members) == len(wld.nodes) && len(st.Endpoints) == len(wld.servers) && len(st.Services) == 2
+			st := nod.ctl.Status(tbd.ctx)
+			return st.Ready && len(st.Members) == len(tbd.nodes) && len(st.Endpoints) == len(tbd.servers) && len(st.Services) == 2
 		})
 	}
 }
@@ -199,13 +200,13 @@
 }
 
 // call sends a request once to one instance.
-func (wld *world) call(node int, service string, sub wire.Submit) wire.Answer {
-	return wld.callAs(workspace, node, service, sub)
+func (tbd *testbed) call(node int, service string, sub wire.Submit) wire.Answer {
+	return tbd.callAs(workspace, node, service, sub)
 }
 
-func (wld *world) callAs(wsp string, node int, service string, sub wire.Submit) wire.Answer {
-	addr := wld.nodes[node].CallerAddr()
-	return caller.New([]string{addr}, wsp, "", "").CallAt(wld.ctx, addr, service, sub, nil)
+func (tbd *testbed) callAs(wsp string, node int, service string, sub wire.Submit) wire.Answer {
+	addr := tbd.nodes[node].CallerAddr()
+	return caller.New([]string{addr}, wsp, "", "").CallAt(tbd.ctx, addr, service, sub, nil)
 }
 
 func booking(key string) wire.Submit {
@@ -219,16 +220,16 @@
 }
 
 // ran counts the executions of the booking service for a workspace's key.
-func (wld *world) ran(wsp, key string) int {
-	return len(slices.DeleteFunc(wld.pools["booking"][0].Executions(), func(exc stand.Execution) bool {
+func (tbd *testbed) ran(wsp, key string) int {
+	return len(slices.DeleteFunc(tbd.pools["booking"][0].Executions(), func(exc stand.Execution) bool {
 		return exc.RequestID != wsp+"/booking/"+key
 	}))
 }
 
 // executions counts the executions at all endpoints.
-func (wld *world) executions() int {
+func (tbd *testbed) executions() int {
 	n := 0
-	for _, epts := range wld.pools {
+	for _, epts := range tbd.pools {
 		for _, ept := range epts {
 			n += len(ept.Executions())
 		}
@@ -303,8 +304,9 @@
 	rly.setCut(true)
 }
 
-// setPartitioned partitions an instance from the platform and from all other instances, or ends that.
-func (wld *world) setPartitioned(node int, cut bool) {
-	wld.relays[node].cutPeers.Store(cut)
-	wld.relays[node].setCut(cut)
+// setPartitioned starts or ends the partition of an instance from the platform and from all other
+// instances.
+func (tbd *testbed) setPartitioned(node int, cut bool) {
+	tbd.relays[node].cutPeers.Store(cut)
+	tbd.relays[node].setCut(cut)
 }
