--- a/internal/contr/claims.go
+++ b/internal/contr/claims.go
@@ -291,7 +291,7 @@
 	}
 }
 
-// IsFree reports whether this instance knows of no attempt that holds or settled the key.
+// IsFree reports whether no attempt that holds or settled the key is known to this instance.
 func (ctl *Control) IsFree(ctx context.Context, req ClaimRequest) bool {
 	free, _ := loop.Get(ctx, ctl.loop, func(clock.Milli) bool { return ctl.claims.find(req.Key, req.Boot).Phase() == claim.Free })
 	return free
--- a/internal/contr/control.go
+++ b/internal/contr/control.go
@@ -193,7 +193,8 @@
 	return ctl.Do(ctx, func(clock.Milli) {})
 }
 
-// Flush waits until all pending records are appended to the log, or the context ends.
+// Flush waits until all pending records of claims and documents are appended to the log, or the
+// context ends.
 func (ctl *Control) Flush(ctx context.Context) {
 	for !ctl.claims.app.Empty() || !ctl.docs.app.Empty() {
 		if !feed.Sleep(ctx, tickInterval) {
