--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -36,7 +36,7 @@
 
 const (
 	// tokenAgeShare is the share of the maximum view age for tokens within which a request
-	// is sent: the rest covers its transfer to the endpoint.
+	// is sent: the remainder covers its transfer to the endpoint.
 	tokenAgeShare = 0.9
 	// idleConnTimeout is the idle time-out of pooled connections, which carry only calls that
 	// may be repeated. It is short because endpoints close idle connections after a few seconds.
@@ -151,7 +151,7 @@
 		OnMisdirected:   func(id ident.Process, why string) { nod.ctl.EndpointLeaving(id, why) },
 		ProcessEnded:    relay.ProcessEnded,
 		RateShare:       func(pool string) float64 { return nod.coord.RateShare(pool) },
-		OnInputsFetched: func(lots []batch.ResultSet) { nod.coord.ReleaseAll(lots) },
+		OnInputsFetched: func(sets []batch.ResultSet) { nod.coord.ReleaseAll(sets) },
 	})
 	pls := pools.New(pools.Setup{Clock: nod.clk, Zone: nod.set.Zone(), RetryShare: share, RetryReserve: reserve})
 	nod.pools = pls
--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -322,13 +322,13 @@
 			ep.DelayedDuration = 300 * time.Millisecond
 			ep.QueueFaults(fake.Delayed)
 		}
-		came := func() int { return len(tbd.stages[0].Arrivals()) + len(tbd.stages[1].Arrivals()) }
-		before := came()
+		arrivalCount := func() int { return len(tbd.stages[0].Arrivals()) + len(tbd.stages[1].Arrivals()) }
+		before := arrivalCount()
 		answer := make(chan response, 1)
 		go func() {
 			answer <- tbd.send(0, request{path: stagedPath, body: crashBody, header: map[string]string{fake.HeaderItems: "1,1", fake.HeaderItemKey: "pk"}})
 		}()
-		eventually(came, pollTimeout).Should(gomega.BeNumerically(">", before))
+		eventually(arrivalCount, pollTimeout).Should(gomega.BeNumerically(">", before))
 		for i := range 3 {
 			tbd.nodes[0].ctl.RecordCrash(poison.FingerprintOf(host, stagedPath, "corella", []byte(crashBody)), ident.Process(fmt.Sprintf("i-%d", i)))
 		}
--- a/internal/node/smuggling_test.go
+++ b/internal/node/smuggling_test.go
@@ -85,7 +85,7 @@
 	})
 
 	// Guards against request smuggling: if a proxy delimits a body by its length and this server by
-	// its chunks, the end of the body would run as a booking that nobody sent.
+	// its chunks, the end of the body would run as a booking that no caller sent.
 	ginkgo.It("with ambiguous framing is refused, and nothing after it runs", func() {
 		tbd := newTestbed(1)
 		inner := rawHead("smuggled", "Content-Length: 0")
--- a/internal/node/state_test.go
+++ b/internal/node/state_test.go
@@ -131,9 +131,10 @@
 		expect(runs(tbd.plain)).To(gomega.HaveLen(before + 1))
 	})
 
-	// Two of three instances read the store for all. The readers' connections to it go silent
-	// without a reset, then a token is revoked. The connection of the third instance works: within
-	// two seconds it must refuse the token, although the readers that it follows got no answer.
+	// Two of three instances read the store for all. The readers' connections to it become
+	// unresponsive without a reset, then a token is revoked. The connection of the third instance
+	// works: within two seconds it must refuse the token, although the readers that it follows got
+	// no answer.
 	ginkgo.It("is not delayed by readers that have lost the store", func() {
 		tbd := newTestbed(3)
 		follower := -1
--- a/internal/proc/chaos_test.go
+++ b/internal/proc/chaos_test.go
@@ -41,8 +41,8 @@
 var _ = ginkgo.Describe("two faults at once", func() {
 	// Rounds of two simultaneous faults, drawn from a seed, at instances, endpoints
 	// and the platform, while callers send bookings, retry them at other instances
-	// and request plans. At the end the stand-ins' records show whether the
-	// guarantees held: no booking ran twice, none answered not_run or failed ran, one
+	// and request plans. At the end the test doubles' records show whether
+	// the guarantees held: no booking ran twice, none answered not_run or failed ran, one
 	// answered done ran once, and all instances still have both documents.
 	ginkgo.It("violate no guarantee", func() {
 		seed := uint64(20261202)
@@ -165,7 +165,7 @@
 	chs.bookings[key] = res
 }
 
-// check compares the stand-ins' records with the outcomes that callers got.
+// check compares the test doubles' records with the outcomes that callers got.
 func (chs *chaosRun) check(seed uint64) {
 	_ = chs.SetFaults(chs.booking, "/v1/faults", stand.Faults{})
 	_ = chs.SetFaults(chs.PlatformProcess(), "/v1/faults", stand.Faults{})
--- a/internal/proc/deployment_test.go
+++ b/internal/proc/deployment_test.go
@@ -66,7 +66,7 @@
 	if out, err := exec.Command(filepath.Join(dpl.binDir, "amvstand"), "keys", dir).CombinedOutput(); err != nil {
 		return nil, fmt.Errorf("create TLS keys: %w: %s", err, out)
 	}
-	plt, err := dpl.StartStandIn("platform", append([]string{"platform", "--list-lag-ms", "500"}, platformArgs...)...)
+	plt, err := dpl.StartTestDouble("platform", append([]string{"platform", "--list-lag-ms", "500"}, platformArgs...)...)
 	if err != nil {
 		return nil, err
 	}
@@ -76,15 +76,15 @@
 
 func (dpl *Deployment) PlatformAddr() string { return dpl.platformAddr }
 
-// StartStandIn starts a stand-in and reads the address that it prints.
-func (dpl *Deployment) StartStandIn(name string, args ...string) (*Process, error) {
+// StartTestDouble starts a test double and reads the address that it prints.
+func (dpl *Deployment) StartTestDouble(name string, args ...string) (*Process, error) {
 	prc, out, err := dpl.start(name, "amvstand", args...)
 	if err != nil {
 		return nil, err
 	}
 	line, err := bufio.NewReader(out).ReadString('\n')
 	if err != nil {
-		return nil, fmt.Errorf("%s: stand-in printed no address: %w", name, err)
+		return nil, fmt.Errorf("%s: test double printed no address: %w", name, err)
 	}
 	prc.addr = strings.TrimPrefix(strings.TrimSpace(line), "listening on ")
 	return prc, nil
@@ -93,7 +93,7 @@
 // StartEndpoint starts an endpoint of a pool; kind is engine, pool or service.
 func (dpl *Deployment) StartEndpoint(kind, id, pool string, args ...string) (*Process, error) {
 	all := append([]string{kind, "--platform", "http://" + dpl.platformAddr, "--id", id, "--pool", pool}, args...)
-	return dpl.StartStandIn(id, all...)
+	return dpl.StartTestDouble(id, all...)
 }
 
 // StartInstance starts an instance with default settings and the given lines added to them.
@@ -161,8 +161,8 @@
 	}
 }
 
-// Addr returns the address that a process serves: that of a stand-in, or the callers' address of
-// an instance.
+// Addr returns the address that a process serves: that of a test double, or the callers' address
+// of an instance.
 func (prc *Process) Addr() string { return prc.addr }
 
 // OpsAddr returns the operators' address of an instance.
@@ -209,8 +209,8 @@
 	return 0
 }
 
-// SetFaults replaces the faults of a stand-in. The path is "/v1/faults", or "/v1/faults/list" for
-// the platform's instance list.
+// SetFaults replaces the faults of a test double. The path is "/v1/faults", or "/v1/faults/list"
+// for the platform's instance list.
 func (dpl *Deployment) SetFaults(prc *Process, path string, flt stand.Faults) error {
 	text, err := json.Marshal(flt)
 	if err != nil {
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -70,9 +70,9 @@
 func (sr *soakRun) checkUnanswered(att *attempt) {
 	rec := att.ins.frontProxy.lookup(att.localAddr)
 	lost := rec.lost(att.dialedAt, att.sent)
-	sr.note("held: %s at %s, lost on the way to the instance: %t; %s", att.id, att.ins.name, lost, rec.describe(att.sent))
+	sr.note("unanswered: %s at %s, lost on the way to the instance: %t; %s", att.id, att.ins.name, lost, rec.describe(att.sent))
 	if !lost || sr.countAllUnanswered {
-		sr.violation("held: %s at %s was not answered within %v after its deadline", att.id, att.ins.name, answerGrace)
+		sr.violation("unanswered: %s at %s was not answered within %v after its deadline", att.id, att.ins.name, answerGrace)
 	}
 }
 
@@ -207,7 +207,7 @@
 		prc := process{att.ins, att.incarnation}
 		highest := seen[prc]
 		if highest != nil && att.version < highest.version && att.sent.Sub(highest.ended) > regressionSlack {
-			sr.violation("back: %s served version %d %v after version %d", att.ins.name, att.version, att.sent.Sub(highest.ended), highest.version)
+			sr.violation("regression: %s served version %d %v after version %d", att.ins.name, att.version, att.sent.Sub(highest.ended), highest.version)
 		}
 		if highest == nil || att.version > highest.version {
 			seen[prc] = att
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -5,10 +5,10 @@
 // # Processes
 //
 // Instances are processes of the daemon, each with its own sockets, settings file and
-// signals. The store and the endpoints are the platform's stand-ins, in the process of the
-// test. Proxies on loopback stand between each instance and the store, between instances
-// and each endpoint, between the instances themselves, and between callers and each
-// instance. They delay and reset connections, and block one direction or both.
+// signals. The store and the endpoints are test doubles in the process of the test.
+// Proxies on loopback stand between each instance and the store, between instances and
+// each endpoint, between the instances themselves, and between callers and each instance.
+// They delay and reset connections, and block one direction or both.
 //
 // # Drawn faults
 //
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -32,23 +32,23 @@
 
 var faultKinds = []faultKind{
 	{"kill", (*soakRun).killInstance},
-	{"planned stop", (*soakRun).plannedShutdown},
+	{"planned shutdown", (*soakRun).plannedShutdown},
 	{"freeze", (*soakRun).freezeInstance},
 	{"settings", (*soakRun).reloadSettings},
 	{"store", (*soakRun).storeFault},
-	{"way to the store", (*soakRun).storeProxyFault},
-	{"way to an endpoint", (*soakRun).endpointProxyFault},
-	{"way to an instance", (*soakRun).frontProxyFault},
+	{"proxy of the store", (*soakRun).storeProxyFault},
+	{"proxy of an endpoint", (*soakRun).endpointProxyFault},
+	{"proxy of an instance", (*soakRun).frontProxyFault},
 	{"endpoint", (*soakRun).endpointFaults},
-	{"endpoint dies", (*soakRun).endpointCrash},
-	{"endpoint leaves", (*soakRun).endpointDrain},
+	{"endpoint crashes", (*soakRun).endpointCrash},
+	{"endpoint drains", (*soakRun).endpointDrain},
 	{"document", func(sr *soakRun) { sr.publish(false) }},
-	{"key taken away", func(sr *soakRun) { sr.publish(true) }},
-	{"herd kill", (*soakRun).killAllInstances},
-	{"way between instances", (*soakRun).peerProxyFault},
-	{"stops one after the other", (*soakRun).rollingShutdown},
-	{"request that ends endpoints", (*soakRun).sendPoison},
-	{"endpoint names a rate", (*soakRun).declareRate},
+	{"key revoked", func(sr *soakRun) { sr.publish(true) }},
+	{"kill of all instances", (*soakRun).killAllInstances},
+	{"proxy between instances", (*soakRun).peerProxyFault},
+	{"rolling shutdown", (*soakRun).rollingShutdown},
+	{"poison request", (*soakRun).sendPoison},
+	{"endpoint declares a rate", (*soakRun).declareRate},
 }
 
 // Runs that draw from at least variedFromKinds kinds may have answers of varied length. In such a
@@ -89,7 +89,7 @@
 // undisturbed.
 func (sr *soakRun) drawFault() faultKind {
 	if sr.params.variedAnswers && sr.drawInt(anyFaultOneIn) > 0 {
-		return []faultKind{{"planned stop", (*soakRun).plannedShutdown}, {"stops one after the other", (*soakRun).rollingShutdown}}[sr.drawInt(2)]
+		return []faultKind{{"planned shutdown", (*soakRun).plannedShutdown}, {"rolling shutdown", (*soakRun).rollingShutdown}}[sr.drawInt(2)]
 	}
 	return faultKinds[sr.drawInt(sr.faultKinds)]
 }
@@ -163,7 +163,7 @@
 		steady = steady && ins.disturbedUntil.Before(signaledAt) && ins.startedAt.Before(signaledAt)
 		ins.mtx.Unlock()
 		if steady {
-			sr.violation("stop: %s took longer than %v for a planned shutdown", ins.name, ins.shutdownTimeout)
+			sr.violation("shutdown: %s took longer than %v for a planned shutdown", ins.name, ins.shutdownTimeout)
 		}
 	})
 	sr.startInstance(ins)
--- a/internal/soak/poison_test.go
+++ b/internal/soak/poison_test.go
@@ -110,7 +110,7 @@
 		}
 		sr.note("%q was sent %d times on route %s and crashed %d endpoints, %d of them from steady instances after it had to be quarantined", psn.body, len(psn.ids), psn.route, len(all), late)
 		if late > repeatsAllowed {
-			sr.violation("ends: %q crashed %d endpoints, %d of them from steady instances after it had to be quarantined", psn.body, len(all), late)
+			sr.violation("poison: %q crashed %d endpoints, %d of them from steady instances after it had to be quarantined", psn.body, len(all), late)
 		}
 	}
 }
@@ -119,7 +119,7 @@
 // retry-after delay.
 func (sr *soakRun) checkQuarantine(att *attempt) {
 	if !strings.Contains(att.body, poisonText) {
-		sr.violation("innocent: %s at %s was refused as quarantined: %s", att.id, att.ins.name, att.answer)
+		sr.violation("quarantine: %s at %s was refused as quarantined: %s", att.id, att.ins.name, att.answer)
 	}
 	if att.header.Get("Retry-After") != "" {
 		sr.violation("refusal: %s at %s was refused as quarantined, with Retry-After", att.id, att.ins.name)
--- a/internal/soak/run_test.go
+++ b/internal/soak/run_test.go
@@ -20,7 +20,7 @@
 	permanentKey = "key-that-stays"
 )
 
-// poolNames are the pools of the stand-in's document.
+// poolNames are the pools in the document of the fake store.
 var poolNames = []string{"bookings", "engines", "rosters"}
 
 const endpointsPerPool = 3
@@ -31,7 +31,7 @@
 	publishedAt time.Time
 }
 
-// endpoint is a stand-in for an endpoint with a proxy in front of it.
+// endpoint is a test double of an endpoint with a proxy in front of it.
 type endpoint struct {
 	*fake.Endpoint
 	pool  string
