--- a/internal/reqlog/reqlog.go
+++ b/internal/reqlog/reqlog.go
@@ -27,9 +27,9 @@
 }
 
 // At returns the time stamp of the line.
-func (line Line) At() time.Time { return line.at }
+func (lin Line) At() time.Time { return lin.at }
 
-// Read returns the lines of a log that belong to the request with this id. Text
+// Read returns the lines of a log that belong to the request with the ID id. Text
 // before the JSON of a line, as some log collectors add it, is ignored.
 func Read(rdr io.Reader, id string) ([]Line, error) {
 	var lines []Line
@@ -65,23 +65,23 @@
 // order; the others follow, sorted by name.
 var leadingFields = []string{"instance", "route", "workspace", "outcome", "reason", "detail"}
 
-// omittedFields are not listed as fields: Text shows time and message by
+// omittedFields are not listed as fields: Format shows time and message by
 // themselves, and level and request add nothing.
 var omittedFields = []string{"time", "level", "message", "request"}
 
 // Format formats the line for display, with the time elapsed since start.
-func (line Line) Format(start time.Time) string {
+func (lin Line) Format(start time.Time) string {
 	var out strings.Builder
-	_, _ = fmt.Fprintf(&out, "%+d ms  %s:", line.at.Sub(start).Milliseconds(), line.fields["message"])
+	_, _ = fmt.Fprintf(&out, "%+d ms  %s:", lin.at.Sub(start).Milliseconds(), lin.fields["message"])
 	names := slices.Clone(leadingFields)
-	for name := range line.fields {
+	for name := range lin.fields {
 		if !slices.Contains(names, name) && !slices.Contains(omittedFields, name) {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names[len(leadingFields):])
 	for _, name := range names {
-		if val, ok := line.fields[name]; ok && val != "" {
+		if val, ok := lin.fields[name]; ok && val != "" {
 			_, _ = fmt.Fprintf(&out, " %s=%v", name, val)
 		}
 	}
--- a/internal/shell/call.go
+++ b/internal/shell/call.go
@@ -46,8 +46,8 @@
 	Expires   string        `help:"When the key expires: a duration such as 1h, or an instant such as 2030-01-02T15:04:05Z."`
 	Ticket    bool          `help:"In an outage of the log: use a key bound to one instance, and print both before sending. To repeat the request, pass them as --key and --node."`
 	First     bool          `help:"Assert that the key was never sent before, so that a refusal can report 'not run'."`
-	Stream    bool          `help:"Write tokens as they come."`
-	MaxTokens int           `help:"The most tokens to generate."`
+	Stream    bool          `help:"Write tokens as they arrive."`
+	MaxTokens int           `help:"The maximum number of tokens to generate."`
 	Deadline  time.Duration `help:"A deadline shorter than the document's."`
 }
 
@@ -58,7 +58,7 @@
 		MaxTokens: cmd.MaxTokens, DeadlineMs: clock.FromDuration(cmd.Deadline),
 	}
 	if cmd.Expires == "" && (cmd.Key != "" || cmd.Ticket) {
-		return errors.New("--expires: required with --key and --ticket, such as 1h")
+		return errors.New("--expires: required with --key or --ticket, such as 1h")
 	}
 	var err error
 	if sub.ExpiresMs, err = parseExpiry(cmd.Expires); err != nil {
--- a/internal/shell/node.go
+++ b/internal/shell/node.go
@@ -40,7 +40,7 @@
 // Run is the command.
 func (cmd *nodeCmd) Run(con *console) error {
 	if !cmd.CheckConfig {
-		// From this line on signals are handled.
+		// This line tells operators and tests that signals are handled from now on.
 		log := newLog(con.err, zerolog.LevelInfoValue)
 		log.Info().Str("config", cmd.Config).Msg("starting")
 	}
--- a/internal/shell/routed.go
+++ b/internal/shell/routed.go
@@ -17,7 +17,8 @@
 
 const (
 	// memoryLimitShare is the share of the process's memory limit that is set as the soft limit of
-	// the Go runtime; the rest is for stacks, sockets and the C library.
+	// the Go runtime, near which the garbage collector runs more often. The remainder is for
+	// stacks, sockets and the C library.
 	memoryLimitShare = 0.7
 	// watchInterval is the interval at which the settings file is polled, because it may change
 	// without a signal.
