--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -84,8 +84,8 @@
 		expect(rsp.status).To(equal(http.StatusOK), rsp.body)
 		runCounts := map[string]int{}
 		for _, stg := range tbd.stages {
-			for _, call := range stg.Batches() {
-				for _, item := range call {
+			for _, bat := range stg.Batches() {
+				for _, item := range bat {
 					runCounts[item]++
 				}
 			}
--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -85,7 +85,8 @@
 	}
 }
 
-// arm makes an engine crash; restartDelay later a new engine replaces its entry.
+// arm makes an engine crash on requests with crashBody. restartDelay after the crash its entry is
+// removed and a new engine is added.
 func (crt *crashTest) arm(ep *fake.Endpoint, srv *stand.Server) {
 	ep.CrashOn(crashBody, func() {
 		crt.mtx.Lock()
--- a/internal/node/rate_test.go
+++ b/internal/node/rate_test.go
@@ -77,7 +77,7 @@
 	ginkgo.It("gets no more than that from all instances together", func() {
 		tbd := newTestbed(4)
 		kinds := []struct {
-			ask  request
+			rqt  request
 			eps  []*fake.Endpoint
 			rate float64
 		}{{engineRequest, tbd.engines, 1}, {plainRequest, tbd.plain, 1}, {stageRequest, tbd.stages, 2}}
@@ -91,12 +91,12 @@
 		var grp sync.WaitGroup
 		for _, knd := range kinds {
 			knd.eps[0].SetRate(knd.rate)
-			grp.Go(func() { tbd.generateLoad(ctx, knd.ask, 20) })
+			grp.Go(func() { tbd.generateLoad(ctx, knd.rqt, 20) })
 		}
 		grp.Wait()
 		for _, knd := range kinds {
-			expect(maxArrivals(knd.eps[0], began.Add(spreadTime))).To(gomega.BeNumerically("<=", allowedArrivals(knd.rate)), knd.ask.path)
-			expect(len(knd.eps[0].Arrivals())).To(gomega.BeNumerically(">", 4), "%s left idle", knd.ask.path)
+			expect(maxArrivals(knd.eps[0], began.Add(spreadTime))).To(gomega.BeNumerically("<=", allowedArrivals(knd.rate)), knd.rqt.path)
+			expect(len(knd.eps[0].Arrivals())).To(gomega.BeNumerically(">", 4), "%s left idle", knd.rqt.path)
 		}
 	})
 
@@ -195,12 +195,12 @@
 		tbd.waitJoined()
 		for _, knd := range []struct {
 			pool string
-			ask  request
+			rqt  request
 			ep   *fake.Endpoint
 		}{{"engines", engineRequest, tbd.engines[0]}, {"bookings", plainRequest, tbd.plain[0]}} {
 			knd.ep.SetRate(1)
 			for i := range 20 {
-				tbd.send(i%3, knd.ask)
+				tbd.send(i%3, knd.rqt)
 			}
 			time.Sleep(500 * time.Millisecond)
 			last := tbd.nodes[0].ctl.View().Coordinators(knd.pool)[2]
@@ -208,7 +208,7 @@
 			partitionedNode.Store(int32(partitioned + 1))
 			before := len(knd.ep.Arrivals())
 			for range 40 {
-				expect(tbd.send(partitioned, knd.ask).status).To(equal(http.StatusOK))
+				expect(tbd.send(partitioned, knd.rqt).status).To(equal(http.StatusOK))
 			}
 			expect(len(knd.ep.Arrivals())).To(equal(before), knd.pool)
 			partitionedNode.Store(0)
--- a/internal/node/requests_test.go
+++ b/internal/node/requests_test.go
@@ -247,7 +247,7 @@
 })
 
 var _ = ginkgo.Describe("a stream", func() {
-	const whole = "id: 1\ndata: token 1\n\nid: 2\ndata: token 2\n\nid: 3\ndata: token 3\n\nid: 4\ndata: token 4\n\n"
+	const fullStream = "id: 1\ndata: token 1\n\nid: 2\ndata: token 2\n\nid: 3\ndata: token 3\n\nid: 4\ndata: token 4\n\n"
 
 	// An engine crashes in the middle of an event. The route allows resumption: the caller gets
 	// every event once, under the response head of the first engine.
@@ -263,7 +263,7 @@
 			rsp = tbd.send(0, request{path: "/stream/x", id: "s1"})
 		}
 		expect(rsp.err).NotTo(anything())
-		expect(rsp.body).To(equal(whole))
+		expect(rsp.body).To(equal(fullStream))
 		after := ""
 		for _, run := range runs(tbd.engines) {
 			if last := run.Header.Get(fake.HeaderLastEvent); last != "" {
@@ -289,7 +289,7 @@
 			fake.HeaderItems: "2,3", fake.HeaderItemKey: "pk",
 		}})
 		expect(rsp.status).To(equal(http.StatusOK), rsp.body)
-		expect(rsp.body).To(equal(whole))
+		expect(rsp.body).To(equal(fullStream))
 		var calls [][]string
 		for _, stg := range tbd.stages {
 			calls = append(calls, stg.Batches()...)
@@ -460,7 +460,7 @@
 		rsp := tbd.send(1-dead, request{path: "/stream-staged/x", header: map[string]string{
 			fake.HeaderItems: "1,1", fake.HeaderItemKey: "pk",
 		}})
-		expect(rsp.body).To(equal(whole))
+		expect(rsp.body).To(equal(fullStream))
 	})
 
 	// The coordinator that places all prompts crashes. The other instances query it until they
@@ -481,7 +481,7 @@
 		for range 5 {
 			rsp, took := send()
 			expect(rsp.status).To(equal(http.StatusOK))
-			expect(rsp.body).To(equal(whole))
+			expect(rsp.body).To(equal(fullStream))
 			expect(took).To(gomega.BeNumerically("<", usual+600*time.Millisecond))
 		}
 	})
--- a/internal/shell/call.go
+++ b/internal/shell/call.go
@@ -17,7 +17,7 @@
 	Service string `arg:"" help:"The service."`
 }
 
-// Run is the command.
+// Run runs the command.
 func (cmd *entriesCmd) Run(con *console) error {
 	ctx, cancel := context.WithTimeout(context.Background(), cmd.Timeout)
 	defer cancel()
@@ -51,7 +51,7 @@
 	Deadline  time.Duration `help:"A deadline shorter than the document's."`
 }
 
-// Run is the command.
+// Run runs the command.
 func (cmd *callCmd) Run(con *console) error {
 	sub := wire.Submit{
 		Request: cmd.Request, Input: cmd.Input, Key: cmd.Key, First: cmd.First, Stream: cmd.Stream,
--- a/internal/shell/docs.go
+++ b/internal/shell/docs.go
@@ -25,7 +25,7 @@
 	File string `arg:"" help:"The document."`
 }
 
-// Run is the command.
+// Run runs the command.
 func (cmd *docCheckCmd) Run(con *console) error {
 	doc, _, err := readDoc(con, cmd.File)
 	if err != nil {
@@ -63,7 +63,7 @@
 	By   string        `help:"Who makes the change." env:"USER"`
 }
 
-// Run is the command.
+// Run runs the command.
 func (cmd *docPublishCmd) Run(con *console) error {
 	doc, text, err := readDoc(con, cmd.File)
 	if err != nil {
@@ -122,7 +122,7 @@
 	Service string `arg:"" help:"The service."`
 }
 
-// Run is the command.
+// Run runs the command.
 func (cmd *docShowCmd) Run(con *console) error {
 	ctx, cancel := context.WithTimeout(context.Background(), cmd.Timeout)
 	defer cancel()
@@ -142,7 +142,7 @@
 	Service string `arg:"" help:"The service."`
 }
 
-// Run is the command.
+// Run runs the command.
 func (cmd *docHistoryCmd) Run(con *console) error {
 	ctx, cancel := context.WithTimeout(context.Background(), cmd.Timeout)
 	defer cancel()
--- a/internal/shell/explain.go
+++ b/internal/shell/explain.go
@@ -12,7 +12,7 @@
 	Files []string `arg:"" optional:"" help:"Logs of the instances; standard input if none is named." type:"existingfile"`
 }
 
-// Run is the command.
+// Run runs the command.
 func (cmd *explainCmd) Run(con *console) error {
 	var lines []reqlog.Line
 	if len(cmd.Files) == 0 {
--- a/internal/shell/node.go
+++ b/internal/shell/node.go
@@ -37,7 +37,7 @@
 	return run("amvnode", nodeAbout, &nodeCmd{signals: sgs}, args, out, err)
 }
 
-// Run is the command.
+// Run runs the command.
 func (cmd *nodeCmd) Run(con *console) error {
 	if !cmd.CheckConfig {
 		// This line tells operators and tests that signals are handled from now on.
--- a/internal/shell/stand.go
+++ b/internal/shell/stand.go
@@ -60,7 +60,7 @@
 	Seed uint64 `help:"The seed of the random numbers." default:"1"`
 }
 
-// Run is the command.
+// Run runs the command.
 func (cmd *trialCmd) Run(con *console) error {
 	con.printf("%s", trial.Table(cmd.Seed))
 	return nil
@@ -77,20 +77,20 @@
 	return run("amvstand", standAbout, &standCmd{}, args, out, err)
 }
 
-// Run is the command.
+// Run runs the command.
 func (cmd *platformCmd) Run(con *console) error {
 	plt := stand.NewPlatform(clock.Clock{}, clock.Milli(cmd.RetentionMs), clock.Milli(cmd.ListLagMs))
 	return serveUntilSignal(con, cmd.Listen, plt.Handler(), nil)
 }
 
-// Run is the command.
+// Run runs the command.
 func (cmd *engineCmd) Run(con *console) error {
 	ept := stand.NewEngine(cmd.ID, cmd.StepMs, cmd.Parallel)
 	ept.CheckFencing(cmd.ChecksFencing)
 	return cmd.serve(con, ept)
 }
 
-// Run is the command.
+// Run runs the command.
 func (cmd *poolCmd) Run(con *console) error {
 	return cmd.serve(con, stand.NewEndpoint(cmd.ID, cmd.StepMs, cmd.Parallel))
 }
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// Run is the command.
+// Run runs the command.
 func (cmd *keysCmd) Run(*console) error {
 	ath, err := peer.NewAuthority()
 	if err != nil {
@@ -128,5 +128,5 @@
 	return ath.WriteFiles(cmd.Dir)
 }
 
-// Run is the command.
+// Run runs the command.
 func (cmd *demoCmd) Run(con *console) error { return demo.Run(con.out) }
--- a/internal/shell/status.go
+++ b/internal/shell/status.go
@@ -10,7 +10,7 @@
 
 type statusCmd struct{ opsFlags }
 
-// Run is the command.
+// Run runs the command.
 func (cmd *statusCmd) Run(con *console) error {
 	ctx, cancel := context.WithTimeout(context.Background(), cmd.Timeout)
 	defer cancel()
--- a/internal/soak/instance_test.go
+++ b/internal/soak/instance_test.go
@@ -199,7 +199,7 @@
 		// shows that they are.
 		ins.earlyHangups++
 	default:
-		ins.unexpectedEnds = append(ins.unexpectedEnds, fmt.Sprintf("process: %s ended without a signal to end: %v", ins.name, err))
+		ins.unexpectedEnds = append(ins.unexpectedEnds, fmt.Sprintf("process: %s ended without having been signalled to: %v", ins.name, err))
 	}
 	close(done)
 }
