--- a/internal/node/requests_test.go
+++ b/internal/node/requests_test.go
@@ -290,11 +290,11 @@
 		}})
 		expect(rsp.status).To(equal(http.StatusOK), rsp.body)
 		expect(rsp.body).To(equal(fullStream))
-		var calls [][]string
+		var batches [][]string
 		for _, stg := range tbd.stages {
-			calls = append(calls, stg.Batches()...)
+			batches = append(batches, stg.Batches()...)
 		}
-		items := slices.Sorted(slices.Values(slices.Concat(calls...)))
+		items := slices.Sorted(slices.Values(slices.Concat(batches...)))
 		expect(items).To(equal([]string{"st1/0/0", "st1/0/1", "st1/1/0", "st1/1/1", "st1/1/2"}))
 		inputs := runs(tbd.engines)[0].Header.Get(fake.HeaderInputs)
 		expect(strings.Count(inputs, "/1-")).To(equal(3))
--- a/internal/node/state_test.go
+++ b/internal/node/state_test.go
@@ -168,7 +168,7 @@
 		for i, prx := range tbd.proxies {
 			before[i] = prx.requests.Load()
 		}
-		// The pauses take at least half a second; requests may be in flight at both ends.
+		// The pauses take at least half a second; a request may be in flight at the start and the end.
 		const outage, most = 3, 2*3 + 1
 		time.Sleep(outage * time.Second)
 		for i, prx := range tbd.proxies {
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -127,16 +127,16 @@
 func (sr *soakRun) checkRun(ep *endpoint, run fake.Run) {
 	att, ok := sr.attempts[run.ID]
 	if !ok {
-		sr.violation("unasked: %s ran %q, which no caller sent", ep.ID(), run.ID)
+		sr.violation("not sent: %s ran %q, which no caller sent", ep.ID(), run.ID)
 		return
 	}
 	if run.Method != att.method || run.Target != att.path || run.Body != att.body {
-		sr.violation("unasked: %s ran %s as %s %s with body %q, which its caller did not send", ep.ID(), run.ID, run.Method, run.Target, run.Body)
+		sr.violation("not sent: %s ran %s as %s %s with body %q, which its caller did not send", ep.ID(), run.ID, run.Method, run.Target, run.Body)
 	}
 	if run.Header.Get(fake.HeaderTenant) != workspace || run.Header.Get(fake.HeaderAuthorize) != "" {
-		sr.violation("unasked: %s ran %s for workspace %q, API key forwarded: %v", ep.ID(), run.ID, run.Header.Get(fake.HeaderTenant), run.Header.Get(fake.HeaderAuthorize) != "")
+		sr.violation("not sent: %s ran %s for workspace %q, API key forwarded: %v", ep.ID(), run.ID, run.Header.Get(fake.HeaderTenant), run.Header.Get(fake.HeaderAuthorize) != "")
 	}
-	if at, taken := sr.revoked[att.key]; taken && att.sent.Sub(at) > tokenMaxViewAge {
+	if at, revoked := sr.revoked[att.key]; revoked && att.sent.Sub(at) > tokenMaxViewAge {
 		sr.violation("revoked: %s was sent to %s %v after its key was revoked, and ran", att.id, att.ins.name, att.sent.Sub(at))
 	}
 	if !ep.drainedAt.IsZero() && run.At.Sub(ep.drainedAt) > drainBound && att.steady {
