--- a/internal/node/state_test.go
+++ b/internal/node/state_test.go
@@ -131,9 +131,10 @@
 		expect(runs(tbd.plain)).To(gomega.HaveLen(before + 1))
 	})
 
-	// Two of three instances read the store for all. The readers' connections to it go silent
-	// without a reset, then a token is revoked. The connection of the third instance works: within
-	// two seconds it must refuse the token, although the readers that it follows got no answer.
+	// Two of three instances read the store for all. The readers' connections to it become
+	// unresponsive without a reset, then a token is revoked. The connection of the third instance
+	// works: within two seconds it must refuse the token, although the readers that it follows got
+	// no answer.
 	ginkgo.It("is not delayed by readers that have lost the store", func() {
 		tbd := newTestbed(3)
 		follower := -1
@@ -167,7 +168,7 @@
 		for i, prx := range tbd.proxies {
 			before[i] = prx.requests.Load()
 		}
-		// The pauses take at least half a second; requests may be in flight at both ends.
+		// The pauses take at least half a second; a request may be in flight at the start and the end.
 		const outage, most = 3, 2*3 + 1
 		time.Sleep(outage * time.Second)
 		for i, prx := range tbd.proxies {
--- a/internal/shell/call.go
+++ b/internal/shell/call.go
@@ -17,7 +17,7 @@
 	Service string `arg:"" help:"The service."`
 }
 
-// Run is the command.
+// Run runs the command.
 func (cmd *entriesCmd) Run(con *console) error {
 	ctx, cancel := context.WithTimeout(context.Background(), cmd.Timeout)
 	defer cancel()
@@ -46,19 +46,19 @@
 	Expires   string        `help:"When the key expires: a duration such as 1h, or an instant such as 2030-01-02T15:04:05Z."`
 	Ticket    bool          `help:"In an outage of the log: use a key bound to one instance, and print both before sending. To repeat the request, pass them as --key and --node."`
 	First     bool          `help:"Assert that the key was never sent before, so that a refusal can report 'not run'."`
-	Stream    bool          `help:"Write tokens as they come."`
-	MaxTokens int           `help:"The most tokens to generate."`
+	Stream    bool          `help:"Write tokens as they arrive."`
+	MaxTokens int           `help:"The maximum number of tokens to generate."`
 	Deadline  time.Duration `help:"A deadline shorter than the document's."`
 }
 
-// Run is the command.
+// Run runs the command.
 func (cmd *callCmd) Run(con *console) error {
 	sub := wire.Submit{
 		Request: cmd.Request, Input: cmd.Input, Key: cmd.Key, First: cmd.First, Stream: cmd.Stream,
 		MaxTokens: cmd.MaxTokens, DeadlineMs: clock.FromDuration(cmd.Deadline),
 	}
 	if cmd.Expires == "" && (cmd.Key != "" || cmd.Ticket) {
-		return errors.New("--expires: required with --key and --ticket, such as 1h")
+		return errors.New("--expires: required with --key or --ticket, such as 1h")
 	}
 	var err error
 	if sub.ExpiresMs, err = parseExpiry(cmd.Expires); err != nil {
--- a/internal/shell/node.go
+++ b/internal/shell/node.go
@@ -37,10 +37,10 @@
 	return run("amvnode", nodeAbout, &nodeCmd{signals: sgs}, args, out, err)
 }
 
-// Run is the command.
+// Run runs the command.
 func (cmd *nodeCmd) Run(con *console) error {
 	if !cmd.CheckConfig {
-		// From this line on signals are handled.
+		// This line tells operators and tests that signals are handled from now on.
 		log := newLog(con.err, zerolog.LevelInfoValue)
 		log.Info().Str("config", cmd.Config).Msg("starting")
 	}
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -70,9 +70,9 @@
 func (sr *soakRun) checkUnanswered(att *attempt) {
 	rec := att.ins.frontProxy.lookup(att.localAddr)
 	lost := rec.lost(att.dialedAt, att.sent)
-	sr.note("held: %s at %s, lost on the way to the instance: %t; %s", att.id, att.ins.name, lost, rec.describe(att.sent))
+	sr.note("unanswered: %s at %s, lost on the way to the instance: %t; %s", att.id, att.ins.name, lost, rec.describe(att.sent))
 	if !lost || sr.countAllUnanswered {
-		sr.violation("held: %s at %s was not answered within %v after its deadline", att.id, att.ins.name, answerGrace)
+		sr.violation("unanswered: %s at %s was not answered within %v after its deadline", att.id, att.ins.name, answerGrace)
 	}
 }
 
@@ -127,16 +127,16 @@
 func (sr *soakRun) checkRun(ep *endpoint, run fake.Run) {
 	att, ok := sr.attempts[run.ID]
 	if !ok {
-		sr.violation("unasked: %s ran %q, which no caller sent", ep.ID(), run.ID)
+		sr.violation("not sent: %s ran %q, which no caller sent", ep.ID(), run.ID)
 		return
 	}
 	if run.Method != att.method || run.Target != att.path || run.Body != att.body {
-		sr.violation("unasked: %s ran %s as %s %s with body %q, which its caller did not send", ep.ID(), run.ID, run.Method, run.Target, run.Body)
+		sr.violation("not sent: %s ran %s as %s %s with body %q, which its caller did not send", ep.ID(), run.ID, run.Method, run.Target, run.Body)
 	}
 	if run.Header.Get(fake.HeaderTenant) != workspace || run.Header.Get(fake.HeaderAuthorize) != "" {
-		sr.violation("unasked: %s ran %s for workspace %q, API key forwarded: %v", ep.ID(), run.ID, run.Header.Get(fake.HeaderTenant), run.Header.Get(fake.HeaderAuthorize) != "")
+		sr.violation("not sent: %s ran %s for workspace %q, API key forwarded: %v", ep.ID(), run.ID, run.Header.Get(fake.HeaderTenant), run.Header.Get(fake.HeaderAuthorize) != "")
 	}
-	if at, taken := sr.revoked[att.key]; taken && att.sent.Sub(at) > tokenMaxViewAge {
+	if at, revoked := sr.revoked[att.key]; revoked && att.sent.Sub(at) > tokenMaxViewAge {
 		sr.violation("revoked: %s was sent to %s %v after its key was revoked, and ran", att.id, att.ins.name, att.sent.Sub(at))
 	}
 	if !ep.drainedAt.IsZero() && run.At.Sub(ep.drainedAt) > drainBound && att.steady {
@@ -207,7 +207,7 @@
 		prc := process{att.ins, att.incarnation}
 		highest := seen[prc]
 		if highest != nil && att.version < highest.version && att.sent.Sub(highest.ended) > regressionSlack {
-			sr.violation("back: %s served version %d %v after version %d", att.ins.name, att.version, att.sent.Sub(highest.ended), highest.version)
+			sr.violation("regression: %s served version %d %v after version %d", att.ins.name, att.version, att.sent.Sub(highest.ended), highest.version)
 		}
 		if highest == nil || att.version > highest.version {
 			seen[prc] = att
