--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -110,7 +110,8 @@
 	}
 }
 
-// RestartAll replaces all instances. The new ones know each other, as from the store.
+// RestartAll replaces all instances. The new ones know each other, as if they had read the
+// store.
 func (flt *Fleet) RestartAll() {
 	flt.boots++
 	flt.byID = map[ident.Incarnation]*Instance{}
@@ -126,14 +127,14 @@
 }
 
 // SetPartitioned partitions an instance from all others, or ends its partition.
-func (flt *Fleet) SetPartitioned(ins *Instance, cut bool) {
-	if ins.partitioned != cut {
-		ins.partitioned, ins.stableSince = cut, flt.now
+func (flt *Fleet) SetPartitioned(ins *Instance, partitioned bool) {
+	if ins.partitioned != partitioned {
+		ins.partitioned, ins.stableSince = partitioned, flt.now
 	}
 }
 
-// IsSteady reports whether an instance is not partitioned, and neither started nor changed that
-// within the given time.
+// IsSteady reports whether an instance is not partitioned, and whether at least the given time has
+// passed since it started and since its last partition ended.
 func (flt *Fleet) IsSteady(ins *Instance, within clock.Milli) bool {
 	return !ins.partitioned && flt.now-ins.stableSince >= within
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -15,7 +15,7 @@
 // queueLength is the capacity of the event queue.
 const queueLength = 1024
 
-// Loop is an event loop. It is made by [New].
+// Loop is an event loop. Use [New] to create one.
 type Loop struct {
 	clk     clock.Clock
 	dropped func()
@@ -78,19 +78,19 @@
 	}
 }
 
-// Get runs a query on the loop and returns its answer; false if the context ended first. The query
-// may then run later, so it must return its answer: setting a variable of the caller would be a
-// data race.
-func Get[T any](ctx context.Context, lp *Loop, question func(now clock.Milli) T) (answer T, ok bool) {
+// Get runs a query on the loop and returns its answer; ok is false if the context ended first. The
+// query may then still run later. It must therefore return its answer: setting a variable of the
+// caller would be a data race.
+func Get[T any](ctx context.Context, lp *Loop, query func(now clock.Milli) T) (answer T, ok bool) {
 	answers := make(chan T, 1)
-	if !lp.Do(ctx, func(now clock.Milli) { answers <- question(now) }) {
+	if !lp.Do(ctx, func(now clock.Milli) { answers <- query(now) }) {
 		return answer, false
 	}
 	return <-answers, true
 }
 
-// Offer queues an event without waiting. If the queue is full the event is dropped: what is offered
-// is learned again soon.
+// Offer queues an event without waiting. If the queue is full the event is dropped: its content
+// is received again soon.
 func (lp *Loop) Offer(event func(now clock.Milli)) {
 	select {
 	case lp.events <- event:
--- a/internal/model/engine.go
+++ b/internal/model/engine.go
@@ -31,7 +31,7 @@
 	// Sizes their numbers of tokens.
 	Parts []string
 	Sizes []int
-	// InTokens and Out are the numbers of tokens of the prompt and of the answer.
+	// InTokens and OutTokens are the numbers of tokens of the prompt and of the answer.
 	InTokens  int
 	OutTokens int
 }
@@ -39,8 +39,8 @@
 // Timing has the times of a request's stream, in milliseconds.
 type Timing struct {
 	ID string
-	// FirstEvent is the time of the first event, End that of the last one, Pause the maximum
-	// gap between two events.
+	// FirstEvent and LastEvent are the times of the first and of the last event, MaxGap is the
+	// maximum gap between two events.
 	FirstEvent float64
 	LastEvent  float64
 	MaxGap     float64
@@ -53,7 +53,7 @@
 	remaining int
 	generated int
 	lastEvent float64
-	ans       Timing
+	tim       Timing
 }
 
 // Engine is a simulated engine. Use [NewEngine] to create one.
@@ -64,9 +64,9 @@
 	decoding   []*work
 	// cached is the prefix cache, with the most recently used part last.
 	cached []part
-	// OnFirst is called at the first event of a stream and Done at its end; either may be nil.
-	OnFirst func(ans Timing)
-	OnDone  func(ans Timing)
+	// OnFirst is called at the first event of a stream and OnDone at its end; either may be nil.
+	OnFirst func(tim Timing)
+	OnDone  func(tim Timing)
 }
 
 type part struct {
@@ -84,7 +84,7 @@
 	}
 	cached := eng.cachedTokens(req)
 	eng.cache(req)
-	eng.prefilling = append(eng.prefilling, &work{req: req, prefilled: cached, remaining: max(req.InTokens-cached, 1), ans: Timing{ID: req.ID}})
+	eng.prefilling = append(eng.prefilling, &work{req: req, prefilled: cached, remaining: max(req.InTokens-cached, 1), tim: Timing{ID: req.ID}})
 }
 
 // cachedTokens returns the length of the cached prefix of a prompt, in tokens.
@@ -112,26 +112,26 @@
 // the least recently used parts beyond its capacity.
 func (eng *Engine) cache(req Request) {
 	sum := 0
-	var rest []part
+	var kept []part
 	for _, prt := range eng.cached {
 		used := false
 		for _, name := range req.Parts {
 			used = used || name == prt.name
 		}
 		if !used {
-			rest = append(rest, prt)
+			kept = append(kept, prt)
 		}
 	}
 	for i, name := range req.Parts {
-		rest = append(rest, part{name: name, tokens: req.Sizes[i]})
+		kept = append(kept, part{name: name, tokens: req.Sizes[i]})
 	}
-	for i := len(rest) - 1; i >= 0; i-- {
-		if sum += rest[i].tokens; sum > eng.spec.CacheTokens {
-			rest = rest[i+1:]
+	for i := len(kept) - 1; i >= 0; i-- {
+		if sum += kept[i].tokens; sum > eng.spec.CacheTokens {
+			kept = kept[i+1:]
 			break
 		}
 	}
-	eng.cached = rest
+	eng.cached = kept
 }
 
 // Run advances the engine to a given time.
@@ -147,19 +147,19 @@
 func (eng *Engine) step() {
 	spc := eng.spec
 	took := spc.StepMs + spc.StreamMs*float64(len(eng.decoding))
-	var reading *work
+	var head *work
 	if len(eng.prefilling) > 0 {
-		reading = eng.prefilling[0]
-		chunk := min(spc.ChunkTokens, reading.remaining)
-		took += float64(chunk)/spc.TokensPerMs + spc.AttentionMs*float64(chunk)*float64(reading.prefilled)/1e6
-		reading.remaining -= chunk
-		reading.prefilled += chunk
+		head = eng.prefilling[0]
+		chunk := min(spc.ChunkTokens, head.remaining)
+		took += float64(chunk)/spc.TokensPerMs + spc.AttentionMs*float64(chunk)*float64(head.prefilled)/1e6
+		head.remaining -= chunk
+		head.prefilled += chunk
 	}
 	eng.now += took * max(spc.SlowFactor, 0.01)
 	eng.decode()
-	if reading != nil && reading.remaining == 0 {
+	if head != nil && head.remaining == 0 {
 		eng.prefilling = eng.prefilling[1:]
-		eng.decoding = append(eng.decoding, reading)
+		eng.decoding = append(eng.decoding, head)
 	}
 }
 
@@ -175,9 +175,9 @@
 			active = append(active, wrk)
 			continue
 		}
-		wrk.ans.LastEvent = eng.now
+		wrk.tim.LastEvent = eng.now
 		if eng.OnDone != nil {
-			eng.OnDone(wrk.ans)
+			eng.OnDone(wrk.tim)
 		}
 	}
 	eng.decoding = active
@@ -185,12 +185,12 @@
 
 func (eng *Engine) emit(wrk *work) {
 	if wrk.lastEvent == 0 {
-		wrk.ans.FirstEvent = eng.now
+		wrk.tim.FirstEvent = eng.now
 		if eng.OnFirst != nil {
-			eng.OnFirst(wrk.ans)
+			eng.OnFirst(wrk.tim)
 		}
 	} else {
-		wrk.ans.MaxGap = max(wrk.ans.MaxGap, eng.now-wrk.lastEvent)
+		wrk.tim.MaxGap = max(wrk.tim.MaxGap, eng.now-wrk.lastEvent)
 	}
 	wrk.lastEvent = eng.now
 }
--- a/internal/model/engine_test.go
+++ b/internal/model/engine_test.go
@@ -10,7 +10,7 @@
 func runAlone(spec Spec, req Request) Timing {
 	eng := NewEngine(spec)
 	var out Timing
-	eng.OnDone = func(ans Timing) { out = ans }
+	eng.OnDone = func(tim Timing) { out = tim }
 	eng.Add(req, 0)
 	eng.Run(1e6)
 	return out
@@ -33,12 +33,12 @@
 // 12,000 tokens cause a gap between events of some 100 ms, 45,000 tokens one of more than 200 ms.
 func TestPausesBesideLongPrompts(t *testing.T) {
 	gom := gomega.NewWithT(t)
-	pause := func(in int) float64 {
+	maxGap := func(in int) float64 {
 		eng := NewEngine(Dense())
 		var out Timing
-		eng.OnDone = func(ans Timing) {
-			if ans.ID == "stream" {
-				out = ans
+		eng.OnDone = func(tim Timing) {
+			if tim.ID == "stream" {
+				out = tim
 			}
 		}
 		eng.Add(Request{ID: "stream", InTokens: 100, OutTokens: 1500}, 0)
@@ -47,19 +47,19 @@
 		eng.Run(1e6)
 		return out.MaxGap
 	}
-	gom.Expect(pause(12000)).To(gomega.BeNumerically("~", 125, 15))
-	gom.Expect(pause(45000)).To(gomega.BeNumerically(">", 220))
+	gom.Expect(maxGap(12000)).To(gomega.BeNumerically("~", 125, 15))
+	gom.Expect(maxGap(45000)).To(gomega.BeNumerically(">", 220))
 }
 
-// TestCachedPartsAreNotReadAgain checks that a cached prefix is not prefilled again, unless it was
+// TestCachedPartsAreNotPrefilledAgain checks that a cached prefix is not prefilled again, unless it was
 // evicted in between.
-func TestCachedPartsAreNotReadAgain(t *testing.T) {
+func TestCachedPartsAreNotPrefilledAgain(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	spec := Dense()
 	spec.CacheTokens = 12000
 	eng := NewEngine(spec)
 	firsts := map[string]float64{}
-	eng.OnFirst = func(ans Timing) { firsts[ans.ID] = ans.FirstEvent }
+	eng.OnFirst = func(tim Timing) { firsts[tim.ID] = tim.FirstEvent }
 	at := 0.0
 	send := func(id, prt string) float64 {
 		eng.Add(Request{ID: id, Parts: []string{prt}, Sizes: []int{5000}, InTokens: 5100, OutTokens: 5}, at)
