--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -90,13 +90,13 @@
 	_, _ = fmt.Fprintf(cls.out, format+"\n", args...)
 }
 
-func (cls *cluster) serve(ctx context.Context, handler *stand.Endpoint, pool, zone string) error {
-	srv, err := stand.Serve("127.0.0.1:0", handler.Handler())
+func (cls *cluster) serve(ctx context.Context, ept *stand.Endpoint, pool, zone string) error {
+	srv, err := stand.Serve("127.0.0.1:0", ept.Handler())
 	if err != nil {
 		return err
 	}
 	cls.servers = append(cls.servers, srv)
-	inst := wire.Instance{ID: handler.ID(), Addr: srv.Addr(), Pool: pool, Zone: zone, State: wire.StateLive}
+	inst := wire.Instance{ID: ept.ID(), Addr: srv.Addr(), Pool: pool, Zone: zone, State: wire.StateLive}
 	go stand.Register(ctx, "http://"+cls.platform.Addr(), inst)
 	return nil
 }
--- a/internal/pools/pools.go
+++ b/internal/pools/pools.go
@@ -31,7 +31,7 @@
 	// firstByteDefault is that time in milliseconds before the first sample.
 	firstByteDefault = 200.0
 	// reserveShare is the part of the retry reserve of all instances that is divided among them;
-	// the rest covers instances that join and leave meanwhile.
+	// the remainder covers instances that join and leave meanwhile.
 	reserveShare = 0.8
 )
 
@@ -77,9 +77,9 @@
 	engines *place.Placer
 	plain   *route.Pool
 	budget  retry.Budget
-	// ids are the names of all endpoints.
+	// ids are the IDs of all endpoints.
 	ids []string
-	// calls are the calls in flight.
+	// calls has the calls in flight, which are cancelled if their endpoint restarts.
 	calls ident.RestartWatch
 }
 
@@ -209,7 +209,7 @@
 	return tgt
 }
 
-// Find returns a model engine by its name.
+// Find returns the model engine with the given ID.
 func (pls *Pools) Find(pool, id string) (place.Engine, bool) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
@@ -264,8 +264,8 @@
 	}
 }
 
-// FirstEvent records the first event of a request at a model engine, and how long after the request
-// was sent it came.
+// FirstEvent records the first event of a request at a model engine, and the time from the sending of
+// the request to this event.
 func (pls *Pools) FirstEvent(pool, ticket string, took clock.Milli) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
@@ -274,12 +274,12 @@
 	}
 }
 
-// End records the end of a request at a model engine, and the longest pause between its events.
-func (pls *Pools) End(pool, ticket string, end place.Ending, pause clock.Milli) {
+// End records the end of a request at a model engine, and the maximum gap between its events.
+func (pls *Pools) End(pool, ticket string, end place.Ending, maxGap clock.Milli) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
 	if pst := pls.byName[pool]; pst != nil && pst.engines != nil {
-		pst.engines.End(ticket, end, pause, pls.set.Clock.Now())
+		pst.engines.End(ticket, end, maxGap, pls.set.Clock.Now())
 	}
 }
 
--- a/internal/pools/rates.go
+++ b/internal/pools/rates.go
@@ -11,7 +11,8 @@
 // maxPermitWait is the longest wait before a permit is requested again.
 const maxPermitWait = clock.Second
 
-// rateLimited returns the endpoints that may get no request now because of the rate they declare.
+// rateLimited returns the IDs of the endpoints that may get no request now because of the rate that
+// they declare.
 func (pls *Pools) rateLimited(pst *poolState, share float64, now clock.Milli) []string {
 	var ids []string
 	for _, id := range pst.ids {
@@ -30,9 +31,9 @@
 	return pst != nil && slices.ContainsFunc(pst.ids, pls.rates.Has)
 }
 
-// TakePermit takes a permit for a request to some endpoint of a plain pool that declares a rate, of
-// which this instance may use a share, and returns the endpoint's name. If there is none, the name
-// is empty, and wait is how long to wait for one.
+// TakePermit takes a permit for a request to any endpoint of a plain pool that declares a rate, and
+// returns the endpoint's ID. share is the part of the rates that this instance may use. If there is no
+// permit, the ID is empty, and wait is how long to wait for one.
 func (pls *Pools) TakePermit(pool string, share float64) (id string, wait clock.Milli) {
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
--- a/internal/serve/head.go
+++ b/internal/serve/head.go
@@ -15,7 +15,8 @@
 // A request with both a length and chunks can be read in two ways (RFC 9112, section 6.1), which
 // allows request smuggling. net/http goes by the chunks, drops the length without an error and reads
 // on: bytes that a proxy in front took for part of the body would be served here as a request that
-// nobody sent.
+// no client sent.
+//
 // net/http doesn't report this, so the bytes are inspected as they arrive. Heads arrive on their own:
 // a caller that waits for its responses sends nothing between a request and the end of its response,
 // and net/http meanwhile reads a single byte to detect a disconnect. The heads of a caller that
@@ -103,7 +104,7 @@
 			handler.ServeHTTP(wrt, req)
 			return
 		}
-		// Unblocks a handler that still reads the body when the request is canceled.
+		// Unblocks a handler that still reads the body when the request is cancelled.
 		stop := context.AfterFunc(req.Context(), func() { _ = hcn.SetReadDeadline(time.Now()) })
 		handler.ServeHTTP(wrt, req)
 		stop()
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// countConn counts closed connections.
+// countConn removes closed connections from liveConns.
 func (srv *Server) countConn(_ net.Conn, state http.ConnState) {
 	if state == http.StateClosed || state == http.StateHijacked {
 		srv.liveConns.Add(-1)
@@ -140,7 +140,7 @@
 }
 
 // Abort aborts the requests in flight. Callers without a response get one that says whether their
-// request may have run, which a closed connection doesn't.
+// request may have run, which a closed connection would not.
 func (srv *Server) Abort() {
 	srv.abort(ErrAborted)
 	ctx, cancel := context.WithTimeout(context.Background(), abortGrace)
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -37,7 +37,7 @@
 	return nil
 }
 
-func wholeHandler() http.Handler {
+func textHandler() http.Handler {
 	return http.HandlerFunc(func(wrt http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(wrt, "whole") })
 }
 
@@ -54,7 +54,7 @@
 		gom.Expect(err).NotTo(gomega.HaveOccurred())
 		_, err = io.WriteString(out, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 		gom.Expect(err).NotTo(gomega.HaveOccurred())
-		srv := New(&lateListener{Listener: lsn, con: con, closed: make(chan struct{})}, wholeHandler())
+		srv := New(&lateListener{Listener: lsn, con: con, closed: make(chan struct{})}, textHandler())
 		ended := make(chan struct{})
 		go func() {
 			srv.Serve()
@@ -110,11 +110,11 @@
 func TestQueuedAsTheListenerCloses(t *testing.T) {
 	for name, begin := range map[string]func(lsn net.Listener) (serve, shutdown func()){
 		"with limits that change": func(lsn net.Listener) (serve, shutdown func()) {
-			srv := New(lsn, wholeHandler())
+			srv := New(lsn, textHandler())
 			return srv.Serve, func() { srv.Shutdown(t.Context()) }
 		},
 		"plain": func(lsn net.Listener) (serve, shutdown func()) {
-			drn := NewDrainServer(wholeHandler(), lsn, 2)
+			drn := NewDrainServer(textHandler(), lsn, 2)
 			return drn.Serve, func() { drn.Shutdown(t.Context()) }
 		},
 	} {
@@ -147,7 +147,7 @@
 	gom := gomega.NewWithT(t)
 	lsn, err := net.Listen("tcp", "127.0.0.1:0")
 	gom.Expect(err).NotTo(gomega.HaveOccurred())
-	srv := New(lsn, wholeHandler())
+	srv := New(lsn, textHandler())
 	go srv.Serve()
 	out, err := net.Dial("tcp", lsn.Addr().String())
 	gom.Expect(err).NotTo(gomega.HaveOccurred())
@@ -176,7 +176,7 @@
 	gom := gomega.NewWithT(t)
 	lsn, err := net.Listen("tcp", "127.0.0.1:0")
 	gom.Expect(err).NotTo(gomega.HaveOccurred())
-	srv := New(lsn, wholeHandler())
+	srv := New(lsn, textHandler())
 	go srv.Serve()
 	out, err := net.Dial("tcp", lsn.Addr().String())
 	gom.Expect(err).NotTo(gomega.HaveOccurred())
--- a/internal/stand/faults.go
+++ b/internal/stand/faults.go
@@ -32,7 +32,7 @@
 	// CutAfter is the number of tokens after which the next CutStreams streams are cut.
 	CutAfter   int `json:"cut_after"`
 	CutStreams int `json:"cut_streams"`
-	// Leave has an endpoint report that it is leaving.
+	// Leave makes an endpoint report that it is leaving.
 	Leave bool `json:"leave"`
 	// HoldAppends delays appends to the log until it is switched off. The records are then
 	// appended even if their sender has disconnected.
--- a/internal/stand/platform.go
+++ b/internal/stand/platform.go
@@ -100,7 +100,8 @@
 	return append([]oplog.Record(nil), plt.stream(name).records...)
 }
 
-// Trim removes all records of a stream except the newest ones, as many as keep.
+// Trim removes all records of a stream except the newest ones, whose number is
+// keep.
 func (plt *Platform) Trim(name string, keep int) {
 	plt.mtx.Lock()
 	defer plt.mtx.Unlock()
--- a/internal/trial/plan.go
+++ b/internal/trial/plan.go
@@ -72,9 +72,9 @@
 	weight int
 }
 
-// Deployment is a modelled deployment. The workspace and the service that results report
-// separately, the smallest and the one of the highest priority, must be the last of their lists;
-// the first workspace is the one that sends bursts.
+// Deployment is a modelled deployment. The smallest workspace and the service of the highest
+// priority, which results report separately, must be the last of their lists; the first workspace is
+// the one that sends bursts.
 type Deployment struct {
 	Name       string
 	instances  int
@@ -158,7 +158,7 @@
 	minReportLag = 500 * clock.Milli(1)
 )
 
-// Scenarios lists the loads without faults, and the faults.
+// Scenarios lists loads without faults, and loads with one fault each.
 func Scenarios() []Scenario {
 	faults := func(begin, end func(run *run)) func(run *run) {
 		return func(run *run) {
@@ -216,7 +216,7 @@
 func (srv *server) setFrozen(on bool) {
 	srv.frozen = on
 	if !on {
-		// The attempts that were running have been canceled meanwhile.
+		// The attempts that were running before the freeze have been cancelled meanwhile.
 		srv.running = nil
 		srv.startNext()
 	}
--- a/internal/trial/result.go
+++ b/internal/trial/result.go
@@ -19,8 +19,8 @@
 	topService        string
 	offeredCount      int
 	inTimeCount       int
-	// smallestCounts and urgentCounts have the requests answered in time and those offered, of the
-	// smallest workspace and of the service of the highest priority.
+	// smallestCounts and urgentCounts count the requests answered in time (index 0) and offered
+	// (index 1) of the smallest workspace and of the service of the highest priority.
 	smallestCounts [2]int
 	urgentCounts   [2]int
 	attemptCount   int
--- a/internal/trial/run.go
+++ b/internal/trial/run.go
@@ -11,8 +11,8 @@
 
 // Constants of internal/stage, and of the simulation.
 const (
-	// slowFactor times the upper bound of a stage's time is how long an attempt may take before
-	// it is retried elsewhere, and never less than minSlowDelay.
+	// slowFactor is the multiple of the upper bound of a stage's time after which an attempt is
+	// retried elsewhere, at the earliest after minSlowDelay.
 	slowFactor   = 4
 	minSlowDelay = 250 * clock.Milli(1)
 	// tickInterval is the interval at which gates are updated.
--- a/internal/trial/server.go
+++ b/internal/trial/server.go
@@ -6,7 +6,7 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// server is a simulated endpoint with a batch of so many slots and a queue. Work takes up to 1.5
+// server is a simulated endpoint with a batch of limited size and a queue. Work takes up to 1.5
 // times as long when the batch is full.
 type server struct {
 	tln          *timeline
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -30,9 +30,9 @@
 	unlimitedRandom = "random, no admission, unlimited"
 )
 
-// Guards against engine time wasted under overload. At twice the engines' capacity, requests that
-// can't be in time must be refused before they cost engine time, and neither bookings nor the
-// smallest workspace may suffer. Without admission and limits, most engine time is spent on
+// TestOverloadIsRefusedEarly guards against engine time wasted under overload. At twice the engines'
+// capacity, requests that can't be in time must be refused before they cost engine time, and neither
+// bookings nor the smallest workspace may suffer. Without admission and limits, most engine time is spent on
 // responses that are too late.
 func TestOverloadIsRefusedEarly(t *testing.T) {
 	gom := gomega.NewWithT(t)
@@ -46,8 +46,8 @@
 	gom.Expect(ours.SmallestAttainment()).To(gomega.BeNumerically(">=", ours.Attainment()))
 }
 
-// Guards against a burst of one workspace that delays others: the largest one sends four times its
-// load, and the smallest must be served as before.
+// TestBurstDoesNotAffectOtherWorkspaces guards against a burst of one workspace that delays others:
+// the largest one sends four times its load, and the smallest must be served as before.
 func TestBurstDoesNotAffectOtherWorkspaces(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	res := measure("shiretoko", "the largest workspace bursts fourfold, load 0.6", own, unlimitedRandom)
@@ -69,7 +69,7 @@
 	gom.Expect(thrifty.RetriesPerRequest()).To(gomega.BeNumerically("<", 0.1))
 }
 
-// Guards against results that differ between runs with the same seed.
+// TestSameSeedSameTable guards against results that differ between runs with the same seed.
 func TestSameSeedSameTable(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	one, two := measure("shiretoko", "load 0.9", own)[own], measure("shiretoko", "load 0.9", own)[own]
