--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -34,8 +34,8 @@
 	Clock       clock.Clock
 	Meter       *meter.Meter
 	Log         zerolog.Logger
-	// TokensFor is the maximum age of a view whose tokens are accepted.
-	TokensFor clock.Milli
+	// TokenMaxViewAge is the maximum age of a view whose tokens are accepted.
+	TokenMaxViewAge clock.Milli
 }
 
 // Front serves callers' requests. It is created by [New].
--- a/internal/front/match.go
+++ b/internal/front/match.go
@@ -174,7 +174,7 @@
 
 // confirmsTokens reports whether a view is recent enough for its tokens to be accepted.
 func (fr *Front) confirmsTokens(vw *state.View) bool {
-	return vw.Age(fr.set.Clock.Now()) <= fr.set.TokensFor
+	return vw.Age(fr.set.Clock.Now()) <= fr.set.TokenMaxViewAge
 }
 
 // tokenValid checks the token again right before something is sent: a request may have waited
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -171,7 +171,7 @@
 	nod.front = front.New(front.Setup{
 		Control: nod.ctl, Dialect: dia, Relay: relay.New(dia, onReply), Pools: pls, Coordinator: nod.coord, Clock: nod.clk,
 		Meter: nod.mtr, Log: nod.log,
-		TokensFor: clock.Milli(tokenAgeShare * float64(nod.set.TokenMaxViewAge())),
+		TokenMaxViewAge: clock.Milli(tokenAgeShare * float64(nod.set.TokenMaxViewAge())),
 	})
 }
 
--- a/internal/pools/pools.go
+++ b/internal/pools/pools.go
@@ -270,7 +270,7 @@
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
 	if pst := pls.byName[pool]; pst != nil && pst.engines != nil {
-		pst.engines.First(ticket, took, pls.set.Clock.Now())
+		pst.engines.FirstEvent(ticket, took, pls.set.Clock.Now())
 	}
 }
 
@@ -308,7 +308,7 @@
 	pls.mtx.Lock()
 	defer pls.mtx.Unlock()
 	if pst := pls.byName[pool]; pst != nil {
-		pst.budget.First()
+		pst.budget.CountAttempt()
 	}
 }
 
--- a/pkg/admit/gate.go
+++ b/pkg/admit/gate.go
@@ -103,7 +103,7 @@
 }
 
 // RecordAttempt records a first attempt, which adds to the retry budget.
-func (gt *Gate) RecordAttempt() { gt.bdg.First() }
+func (gt *Gate) RecordAttempt() { gt.bdg.CountAttempt() }
 
 // TakeRetry reports whether one retry is allowed and takes it from the budget. If the
 // bounds permit it, a retry beyond the budget is allowed while the queue is empty and
--- a/pkg/place/load_test.go
+++ b/pkg/place/load_test.go
@@ -134,7 +134,7 @@
 	placed.play(func(ticket string, prm Prompt, now clock.Milli) int {
 		return index(pick(plc, ticket, Ask{Prompt: prm, MaxGap: maxGap}, now))
 	}, func(ticket string, ans model.Timing, took float64) {
-		plc.First(ticket, clock.Milli(took), clock.Milli(ans.FirstEvent))
+		plc.FirstEvent(ticket, clock.Milli(took), clock.Milli(ans.FirstEvent))
 	}, func(ticket string, ans model.Timing, _ float64) {
 		plc.End(ticket, Succeeded, clock.Milli(ans.MaxGap), clock.Milli(ans.LastEvent))
 	})
--- a/pkg/place/place.go
+++ b/pkg/place/place.go
@@ -176,8 +176,8 @@
 	plc.runs[ticket] = rn
 }
 
-// First records the first event of a request, and its time since the request was sent.
-func (plc *Placer) First(ticket string, took, now clock.Milli) {
+// FirstEvent records the first event of a request, and its time since the request was sent.
+func (plc *Placer) FirstEvent(ticket string, took, now clock.Milli) {
 	rn, ok := plc.runs[ticket]
 	if !ok || rn.streaming {
 		return
--- a/pkg/place/place_test.go
+++ b/pkg/place/place_test.go
@@ -106,7 +106,7 @@
 	for i := range 5 {
 		ticket := fmt.Sprint(i)
 		plc.Begin("e1", ticket, Prompt{InTokens: 500, MaxOutTokens: 300}, 0, 0)
-		plc.First(ticket, 30, 0)
+		plc.FirstEvent(ticket, 30, 0)
 	}
 	for i := range 20 {
 		plm, _ := plc.Pick(Ask{Prompt: Prompt{InTokens: 500, MaxOutTokens: 10}, Salt: fmt.Sprint(i)}, 100)
@@ -125,12 +125,12 @@
 	}
 	ask := Ask{Prompt: prompt("doc")}
 	first := pick(plc, "1", ask, 0)
-	plc.First("1", 120, 120)
+	plc.FirstEvent("1", 120, 120)
 	second := pick(plc, "2", ask, 1000)
 	gom.Expect(second.Engine.ID).To(gomega.Equal(first.Engine.ID))
 	gom.Expect(second.CachedTokens).To(gomega.Equal(4300))
 	gom.Expect(second.FetchAddr).To(gomega.BeEmpty())
-	plc.First("2", 30, 1030)
+	plc.FirstEvent("2", 30, 1030)
 	plc.Begin(first.Engine.ID, "long", Prompt{InTokens: 40000, MaxOutTokens: 10}, 0, 1100)
 	third := pick(plc, "3", ask, 1101)
 	gom.Expect(third.Engine.ID).NotTo(gomega.Equal(first.Engine.ID))
@@ -237,10 +237,10 @@
 		plc.End(fmt.Sprint("m", i), Neutral, 0, 0)
 	}
 	plc.Begin("e0", "large", Prompt{InTokens: 30000, MaxOutTokens: 1500}, 200, 0)
-	plc.First("large", 900, 900)
+	plc.FirstEvent("large", 900, 900)
 	for _, ticket := range []string{"1", "2"} {
 		plc.Begin("e1", ticket, Prompt{InTokens: 800, MaxOutTokens: 400}, 200, 900)
-		plc.First(ticket, 30, 930)
+		plc.FirstEvent(ticket, 30, 930)
 	}
 	for i := range 20 {
 		plm, _ := plc.Pick(Ask{Prompt: Prompt{InTokens: 40000, MaxOutTokens: 100}, Salt: fmt.Sprint(i), MaxGap: 200}, 1000)
@@ -268,9 +268,9 @@
 	plc.Sync([]Engine{{ID: "a", Memory: 50000, Slots: 64}, {ID: "b", Memory: 50000, Slots: 64}})
 	ask := Ask{Prompt: Prompt{InTokens: 26000, MaxOutTokens: 100}, Salt: "s"}
 	first := pick(plc, "1", ask, 0).Engine.ID
-	plc.First("1", 900, 900)
+	plc.FirstEvent("1", 900, 900)
 	plc.Begin(first, "2", ask.Prompt, 0, 900)
-	plc.First("2", 900, 1800)
+	plc.FirstEvent("2", 900, 1800)
 	plm, ok := plc.Pick(Ask{Prompt: Prompt{InTokens: 10}, Salt: "s"}, 1900)
 	gom.Expect(ok).To(gomega.BeTrue())
 	gom.Expect(plm.Engine.ID).NotTo(gomega.Equal(first))
--- a/pkg/retry/retry.go
+++ b/pkg/retry/retry.go
@@ -88,8 +88,8 @@
 // whose number changes.
 func (bdg *Budget) SetReserve(reserve float64) { bdg.reserve = reserve }
 
-// First records a first attempt, which refills the budget by its share.
-func (bdg *Budget) First() {
+// CountAttempt records a first attempt, which refills the budget by its share.
+func (bdg *Budget) CountAttempt() {
 	share := bdg.share
 	if share == 0 {
 		share = DefaultShare
--- a/pkg/retry/retry_test.go
+++ b/pkg/retry/retry_test.go
@@ -22,7 +22,7 @@
 		for range rapid.IntRange(1, 400).Draw(t, "events") {
 			if rapid.Bool().Draw(t, "first") {
 				first++
-				bdg.First()
+				bdg.CountAttempt()
 			} else if bdg.Take() {
 				taken++
 			}
