--- a/pkg/gather/doc.go
+++ b/pkg/gather/doc.go
@@ -28,7 +28,8 @@
 //
 // Storage occupied by results of other schedulers is learned from the endpoint's report
 // ([Scheduler.ReportFree]) and from items that it refuses ([Scheduler.MarkFull]). A job is not
-// split over batches, except in pools so large that its remaining items follow within milliseconds.
+// split over batches, except one too large for a batch, and in pools so large that its remaining
+// items follow within milliseconds.
 //
 // Two instances may schedule the same pool for a while, when their membership views differ. That
 // costs batch size and some refused batches, but no result becomes wrong, because an item may be
--- a/pkg/gather/gather.go
+++ b/pkg/gather/gather.go
@@ -95,7 +95,7 @@
 	// Zone is the preferred data centre, where the item's inputs are or its result will be used;
 	// empty if there is none.
 	Zone string
-	// LocalUntil is how long the item waits for an endpoint in its preferred data centre.
+	// LocalUntil is the time until which the item waits for an endpoint in its preferred data centre.
 	LocalUntil clock.Milli
 	// Bytes is the estimated size of the result.
 	Bytes int64
@@ -125,7 +125,7 @@
 // BatchOutcome is how a batch ended.
 type BatchOutcome int
 
-// Verdicts of a batch.
+// Outcomes of a batch.
 const (
 	// Answered: the endpoint answered, with whatever outcome for each item.
 	Answered BatchOutcome = iota
--- a/pkg/gather/gather_test.go
+++ b/pkg/gather/gather_test.go
@@ -78,8 +78,8 @@
 	gom.Expect(order).To(gomega.Equal([]int64{3, 2, 1}))
 }
 
-// TestJobsAreNotSplit: a batch holds four items, and jobs of three, two and one wait. The second
-// job would be split and complete only with the next batch; the third fits.
+// TestJobsAreNotSplit: a batch holds four items, and jobs of three, two and one wait in this order.
+// The second job would be split and complete only with the next batch; the third fits.
 func TestJobsAreNotSplit(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	sch := newScheduler(1)
--- a/pkg/gather/lost_test.go
+++ b/pkg/gather/lost_test.go
@@ -10,8 +10,9 @@
 	"amaranthvalve/pkg/clock"
 )
 
-// lossy simulates a pool of many endpoints, of which most lose every third answer from from to to.
-// It returns the sorted latencies of the requests that arrive at least two seconds after to.
+// lossy simulates a pool of many endpoints, of which three in five lose about every third answer
+// between the times from and to. It returns the sorted latencies of the requests that arrive at
+// least two seconds after to.
 func lossy(sch *Scheduler, endpoints int, perSecond float64, from, to, end clock.Milli) []clock.Milli {
 	rnd := rand.New(rand.NewPCG(3, 4))
 	losers := map[string]bool{}
@@ -73,7 +74,8 @@
 // TestLostAnswersDoNotIdleEndpoints: most endpoints of a large pool lose some of their answers for
 // three seconds. Each lost answer marked its endpoint as slow for another seven seconds; it stayed
 // idle, since one of the many others was always free sooner, while hundreds of items waited and
-// requests were refused or late. Two seconds after the fault the latency is back to normal.
+// requests were refused or late long after the fault. Two seconds after it the latency is back to
+// normal.
 func TestLostAnswersDoNotIdleEndpoints(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	play := func(from, to clock.Milli) []clock.Milli {
--- a/pkg/gather/spacing.go
+++ b/pkg/gather/spacing.go
@@ -12,7 +12,8 @@
 // items that arrived meanwhile, after half a batch's time of waiting, go in one large batch: the
 // batches bunch up, as buses on a route do.
 type spacing struct {
-	// started is set once a batch has started, the latest at last; meanMs is the mean planned time.
+	// started is set once a batch has started, last is the start of the latest one, and meanMs is
+	// the mean planned time.
 	started bool
 	last    clock.Milli
 	meanMs  float64
