--- a/pkg/place/bench_test.go
+++ b/pkg/place/bench_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// BenchmarkPick measures the choice among 18, 64 and 1,600 engines with four requests each.
+// BenchmarkPick measures the choice among 18, 64 and 1,600 engines with four requests each, from
+// the present number of engines to the one expected in two years.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{18, 64, 1600} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/pkg/place/doc.go
+++ b/pkg/place/doc.go
@@ -21,8 +21,8 @@
 // failures. [Placer.Pick] returns the engine of least cost in milliseconds: the time to the first
 // event, the delay of the streams there, the loss of the streams that would be late, the parts that
 // would be read again though another engine has them cached, and the results that would be fetched
-// from another data centre. The choice is slightly biased against idle engines, to have them for
-// long prompts.
+// from another data centre. A stream costs more at an engine that often reads long prompts, so that
+// the next long prompt finds an engine without streams.
 //
 // Where no part of a prompt is known to be cached, rendezvous hashing ranks the engines (D. Thaler
 // and C. Ravishankar, "Using name-based mappings to increase hit rates", 1998), so that the next
--- a/pkg/place/measure.go
+++ b/pkg/place/measure.go
@@ -15,8 +15,8 @@
 	// curveWeight is the weight of a new measurement in its class.
 	curveWeight = 0.1
 	// slownessWeight is the weight of a new measurement in an engine's slowness. slownessHalfLife
-	// is the half-life of the slowness in milliseconds, so that an engine that gets no long prompts
-	// is tried again.
+	// is the half-life of the slowness in milliseconds, so that an engine that gets no requests for
+	// a long time is tried again.
 	slownessWeight   = 0.2
 	slownessHalfLife = 15000.0
 	// minSlowRatio and maxSlowRatio clip a single measurement: values beyond them are outliers, or
--- a/pkg/place/place.go
+++ b/pkg/place/place.go
@@ -137,7 +137,8 @@
 	return ok && !eng.Leaving && now >= eng.ejectedUntil
 }
 
-// Full reports whether all known slots of an engine are busy.
+// Full reports whether all slots of an engine are in use, as far as known from the requests placed
+// here and the reported load.
 func (plc *Placer) Full(id string, now clock.Milli) bool {
 	eng, ok := plc.byID[id]
 	return ok && eng.Slots > 0 && eng.streams(now) >= float64(eng.Slots)
