--- a/pkg/limit/limit.go
+++ b/pkg/limit/limit.go
@@ -93,7 +93,7 @@
 }
 
 // Workspace enforces the rate and concurrency limits of a workspace at one instance.
-// The zero value is not usable; see [NewWorkspace].
+// The zero value admits no request; see [NewWorkspace].
 type Workspace struct {
 	bucket      *rate.Limiter
 	inFlight    int
