--- a/pkg/plan/draft.go
+++ b/pkg/plan/draft.go
@@ -73,7 +73,7 @@
 	Queue int
 	// MaxItems is the maximum number of items in a batch.
 	MaxItems int
-	// BatchMs is the fixed time of a batch, Item the additional time of each item, in
+	// BatchMs is the fixed time of a batch, ItemMs the additional time of each item, in
 	// milliseconds.
 	BatchMs float64
 	ItemMs  float64
