--- a/pkg/member/choose.go
+++ b/pkg/member/choose.go
@@ -57,9 +57,9 @@
 	return picked
 }
 
-// Owner returns the live member that owns a name, by rendezvous hashing (D. Thaler and C.
-// Ravishankar, 1998): when a member ends, only the names that it owned move. It avoids
-// duplicate work and is never trusted for safety.
+// Owner returns the member that owns a name, by rendezvous hashing (D. Thaler and C.
+// Ravishankar, 1998) over the members with status [Alive]: when a member ends, only the names
+// that it owned move. It avoids duplicate work and is never trusted for safety.
 func (lst *List) Owner(name string) ident.Incarnation {
 	var serving []ident.Incarnation
 	for who, mbr := range lst.members {
@@ -73,8 +73,9 @@
 	return rank(name, serving)[0]
 }
 
-// Owners returns the live members in the order in which they own a name: the second takes
-// over when the first can't be reached. Members are ranked by weighted rendezvous hashing
+// Owners returns the members with status [Alive] in the order in which they own a name: the
+// second takes over when the first can't be reached. A member that has been replaced by an
+// unknown incarnation counts for ReplacedFor. Members are ranked by weighted rendezvous hashing
 // (J. Mosheyev and others, "Weighted distributed hash tables", 2005, in the form of the
 // logarithmic method), so that a member with twice the capacity owns twice as many names.
 // Members below weakFraction of the largest capacity come last, since a single name may
@@ -116,9 +117,9 @@
 	return ids
 }
 
-// byAddress returns the live member at each address: the one seen last where there are
-// several, since the others have ended; or one that has been replaced by a process whose
-// incarnation is not known yet.
+// byAddress returns the member with status [Alive] at each address: the one seen last where
+// there are several, since the others have ended; or one that has been replaced by a process
+// whose incarnation is not known yet.
 func (lst *List) byAddress() map[string]*Member {
 	byAddr := make(map[string]*Member, len(lst.members))
 	for who, mbr := range lst.members {
@@ -164,8 +165,8 @@
 	return mbr.capacity() / -math.Log(even)
 }
 
-// Rank returns the instance's position among the members ordered by identity, so that they
-// can take turns at a task that one of them should do.
+// Rank returns the instance's position among the members that are not dead, ordered by
+// identity, so that they can take turns at a task that one of them should do.
 func (lst *List) Rank() int {
 	pos := 0
 	for who, mbr := range lst.members {
@@ -177,10 +178,10 @@
 }
 
 // MajoritySeen returns the latest time since which a majority of the members, including the
-// instance itself, has been seen; false if no majority ever was. Members declared dead
-// count towards the total unless their end is proved: a partitioned instance declares all
-// others dead after some seconds, and without them it would form a majority alone and use
-// outdated documents again.
+// instance itself, has been seen; false if those not declared dead are no majority. Members
+// declared dead count towards the total unless their end is proved: a partitioned instance
+// declares all others dead after some seconds, and without them it would form a majority alone
+// and use outdated documents again.
 func (lst *List) MajoritySeen(now clock.Milli) (since clock.Milli, ok bool) {
 	all := 0
 	var seen []clock.Milli
@@ -260,8 +261,8 @@
 	return late
 }
 
-// OwnerIn returns the live member of a data centre that owns a name, or one of any data
-// centre if that one has no live member.
+// OwnerIn returns the member of a data centre that owns a name, or one of any data centre if
+// that one has no member with status [Alive].
 func (lst *List) OwnerIn(zone, name string) ident.Incarnation {
 	var serving []ident.Incarnation
 	for who, mbr := range lst.members {
