--- a/internal/state/control.go
+++ b/internal/state/control.go
@@ -115,7 +115,7 @@
 
 // WaitServable returns the current view. Within [startupWait] of the start it first waits for a
 // view by which requests can be served: a caller that is refused meanwhile has used up one of its
-// few attempts, and hundreds of callers that retry at the same time would add to the load by then.
+// few attempts, and hundreds of callers that retry at once come on top of those that arrive then.
 func (ctl *Control) WaitServable(ctx context.Context) *View {
 	vw := ctl.View()
 	left := startupWait - ctl.set.Clock.Since(ctl.startedAt)
--- a/internal/state/endpts_test.go
+++ b/internal/state/endpts_test.go
@@ -49,8 +49,8 @@
 	gom.Expect(names(ect.list)).To(gomega.Equal([]string{"a"}))
 }
 
-// Guards against dropping endpoints whose entries expired during an outage of the store. They are
-// kept right after it, and dropped once the time for renewing entries has passed.
+// Guards against dropping endpoints that still answer, but whose entries expired during an outage of
+// the store. They are kept right after it, and dropped once the time for renewing entries has passed.
 func TestLapsedEntriesAreKept(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	ect := newEndpts()
--- a/internal/state/follow.go
+++ b/internal/state/follow.go
@@ -25,8 +25,9 @@
 	// maxStoreSilence is how long a reader may have had no answer from the store before followers
 	// leave it: its path to the store may be broken while theirs is not. The store answers it every
 	// watchHold, and later by its delay. Together with updateHold and the time until a follower
-	// leaves its reader, it gets updates from another source some 1.2 s after the reader's last
-	// answer from the store, well within the two seconds in which a change must be in force.
+	// leaves its reader, this lets the follower get updates from another source some 1.2 s after
+	// the store last answered its reader, well within the two seconds in which a change must be in
+	// force.
 	maxStoreSilence = 1000 * clock.Milli(1)
 	// readerBackoff is how long a reader that failed is not asked.
 	readerBackoff = 3 * clock.Second
--- a/internal/state/runs.go
+++ b/internal/state/runs.go
@@ -20,8 +20,9 @@
 // runs has the latest run of each endpoint by its name. The zero value is empty.
 //
 // A list may be older than what is known already: a reader's list in transit, or one from before
-// the store was read. It may name a run of an endpoint that has ended since. If the list were taken
-// as it is, requests would be sent to a process that is gone, and be refused.
+// the store was read. It may name a run of an endpoint that has ended since. Taken as it is, the
+// list would bring back that run with all that was recorded of it, and requests would be sent to a
+// process that is gone, and be refused.
 type runs struct {
 	byName map[string]run
 }
--- a/internal/state/start_test.go
+++ b/internal/state/start_test.go
@@ -97,7 +97,7 @@
 }
 
 // Guards against an instance that stays missing from the store after its entry was withdrawn by
-// another one that took it for dead.
+// another one that took it for dead. The entry is written again after the next lookup.
 func TestOwnEntryIsWrittenAgain(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	var writes atomic.Int64
@@ -108,8 +108,9 @@
 	gom.Eventually(writes.Load, soon).Should(gomega.BeNumerically(">=", 2))
 }
 
-// Guards against requests that are refused right after the start because the endpoints are not read
-// yet. They wait for them; if the store is down, later ones are refused at once.
+// Guards against requests that are refused right after the start, as if there were no endpoints,
+// because these are not read yet. The requests wait for them. If the store is down, requests that
+// come after startupWait are refused at once.
 func TestFirstRequestsWait(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	ctl := started(t, proto.Store{Endpoints: func(context.Context) ([]proto.Endpoint, []error, error) {
@@ -235,8 +236,9 @@
 	gom.Expect(time.Since(back)).To(gomega.BeNumerically("<", maxRetryPause.Duration()+2*updateHold))
 }
 
-// Guards against a crash of the last instance: while stopping it reads the entries of others, which
-// have ended, and ranks no instance, itself included. It ended there with requests in flight.
+// Guards against a crash of the last instance: while it stops, it reads the entries of others, which
+// have ended. Its ranking is empty then, without even itself, and it removes no entries. The
+// process crashed there with requests in flight.
 func TestLastInstanceStopsDuringLookup(t *testing.T) {
 	gom := gomega.NewWithT(t)
 	ctl := started(t, proto.Store{})
