--- a/internal/front/results.go
+++ b/internal/front/results.go
@@ -33,7 +33,7 @@
 const farFuture = clock.Milli(1 << 62)
 
 // inputsExpire returns the time by which a stage must be done, because the TTL of one of its
-// inputs ends then. An item that waits longer would run and find its input gone.
+// inputs ends then. An item that waits longer would take the time of a call and find its input gone.
 func (cl *call) inputsExpire(stg int) clock.Milli {
 	first := farFuture
 	for _, srs := range cl.results {
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -5,7 +5,7 @@
 	"io"
 )
 
-// maxEventBytes bounds one event; the stream counts as cut at a longer one.
+// maxEventBytes bounds one event; a stream with a longer event counts as cut there.
 const maxEventBytes = 1 << 20
 
 // EventReader splits a stream into whole server-sent events. An engine may fail in the middle of
