--- a/internal/engin/engin.go
+++ b/internal/engin/engin.go
@@ -72,8 +72,8 @@
 		return wire.RunResult{}, rep, ending.Broken(ctx)
 	}
 	// A late answer to an abandoned attempt, or one meant for another caller, must never be
-	// matched to this request: otherwise a conflict check would be answered with the booking of
-	// another caller.
+	// matched to this request: otherwise the result of a conflict check would be applied to the
+	// booking of another caller.
 	if ran.Attempt != run.Attempt {
 		return wire.RunResult{}, rep, ending.Foreign
 	}
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -39,8 +39,8 @@
 	refused map[string]int64
 }
 
-// buckets, in seconds, range from a stage of a few milliseconds to beyond the
-// longest deadline of 12 s.
+// buckets, in seconds, cover the times of the design, from a stage of a few
+// milliseconds to a deadline of 12 s. Documents may set longer deadlines.
 var buckets = []float64{.002, .005, .01, .02, .05, .1, .2, .5, 1, 2, 5, 12, 30}
 
 // Kinds of events, counted by kind alone.
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -112,8 +112,8 @@
 
 // Guards against streams that are cut off by the end of a planned shutdown although the request
 // arrived seconds after its beginning. Such requests were once admitted by the mean and the
-// deviation of earlier durations, which one answer in twelve exceeds: an instance expected
-// 3.6 s, had 4.2 s left, and cut the stream off.
+// deviation of earlier durations, which one answer in twelve exceeds: by its log, an
+// instance expected 3.6 s, had 4.2 s left, and cut the stream off.
 func TestShutdownCutsOffNoAnswer(t *testing.T) {
 	sdt := newShutdownTest(t, 3, 600*time.Millisecond)
 	sdt.begin()
--- a/internal/node/smuggling_test.go
+++ b/internal/node/smuggling_test.go
@@ -105,8 +105,8 @@
 		expect(runs(tbd.plain)).To(gomega.BeEmpty())
 	})
 
-	// Guards against checking the framing of only the first request on a connection: a later
-	// request has both framings.
+	// Guards against checking the framing of only the first request on a connection: after valid
+	// requests, one that is chunked and also has a length must be refused.
 	ginkgo.It("is checked in every request of a connection", func() {
 		tbd := newTestbed(1)
 		raw := tbd.dialRaw()
--- a/internal/stage/attempt.go
+++ b/internal/stage/attempt.go
@@ -122,7 +122,7 @@
 		return res, false
 	}
 	if end == ending.GaveUp && att.stg.Kind() == svcdoc.Generate {
-		// Only the caller's side abandons a stream, so that no reader is left.
+		// A stream is abandoned only on the caller's side: it has no reader any longer.
 		return outcm.New(res.Outcome(), outcm.CallerGone, res.Detail()), false
 	}
 	if end == ending.GaveUp {
--- a/internal/tomlx/doc.go
+++ b/internal/tomlx/doc.go
@@ -3,7 +3,8 @@
 //
 // The decoder of the TOML library stops at the first value of a wrong type and
 // reports unknown keys only if there is no other error, so that an operator
-// would need a run for each fault. This package works in three passes:
+// would need a run for each fault and could introduce new ones between the
+// runs. This package works in three passes:
 //
 //  1. The library parses the text into maps. A syntax error ends the decoding
 //     with the position that the library reports.
