--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -11,7 +11,8 @@
 //     without "first".
 //   - An interrupted stream is resumed with its resume token and the texts received
 //     so far.
-//   - Any other request whose answer was lost is not retried; the error is returned.
+//   - Any other request whose answer was lost is not retried; the caller gets the
+//     outcome unknown, or failed for an interrupted stream.
 //   - A refusal with a retry-after delay is not retried earlier.
 package caller
 
@@ -245,8 +246,8 @@
 }
 
 // read reads the events of one connection. It reports whether the stream is complete:
-// its last event was received, and a successful outcome has the count of the texts
-// received.
+// its last event was received and, if the outcome is done, its count is that of the
+// texts received.
 func (str *streamState) read(body interface{ Read([]byte) (int, error) }) (wire.Answer, bool) {
 	erd := wire.NewEventReader(body)
 	for {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// IsSteady reports whether an instance is not partitioned, and whether at least the given time has
-// passed since it started and since its last partition ended.
+// IsSteady reports whether an instance is not partitioned, and its start and the end of its last
+// partition are at least the given time ago.
 func (flt *Fleet) IsSteady(ins *Instance, within clock.Milli) bool {
 	return !ins.partitioned && flt.now-ins.stableSince >= within
 }
--- a/internal/mutant/doc.go
+++ b/internal/mutant/doc.go
@@ -3,6 +3,6 @@
 //
 // Each archive in testdata describes what goes wrong without the safeguard, with the number of
 // the broken promise if it has one, and contains a file name, the text to replace, its
-// replacement and the arguments of go test. The tests take minutes and are not part of CI:
+// replacement and the arguments of go test. The tests take minutes, so they are not part of CI:
 // AMV_MUTANTS=1 go test -count=1 -v -timeout 60m ./internal/mutant
 package mutant
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -131,8 +131,8 @@
 func (sr *soakRun) plannedShutdown() { sr.restart(sr.drawInstance()) }
 
 // rollingShutdown restarts all instances by planned shutdowns, starting one soon after the other
-// so that several may be draining at a time. It waits up to settleTime for an instance that was
-// started or disturbed recently.
+// so that several may be draining at a time. It waits for instances that were started or disturbed
+// recently, for settleTime in total at most.
 func (sr *soakRun) rollingShutdown() {
 	first, gap := sr.drawInt(len(sr.insts)), sr.drawDuration(minGap, maxGap/2)
 	until := time.Now().Add(settleTime)
@@ -228,8 +228,8 @@
 	ins.markDisturbed(time.Now())
 }
 
-// peerProxyFault disturbs the datagrams between an instance and all others for a while. The other
-// instances stay steady: they must work without it.
+// peerProxyFault disturbs the datagrams that all others send to an instance, and the replies to
+// these, for a while. The other instances count as steady: they must work without it.
 func (sr *soakRun) peerProxyFault() {
 	ins, span := sr.drawInstance(), sr.drawFaultDuration()
 	ins.markDisturbed(time.Now().Add(span))
--- a/internal/trial/run.go
+++ b/internal/trial/run.go
@@ -9,7 +9,8 @@
 	"amaranthvalve/pkg/route"
 )
 
-// Constants of internal/stage, and of the simulation.
+// Constants of the simulation. slowFactor, minSlowDelay and stallTimeout must equal timeoutFactor,
+// minAttemptTimeout and stallTimeout of internal/stage.
 const (
 	// slowFactor is the multiple of the upper bound of a stage's time after which an attempt is
 	// retried elsewhere, at the earliest after minSlowDelay.
