--- a/internal/trial/request.go
+++ b/internal/trial/request.go
@@ -123,9 +123,9 @@
 	wrk.done = func(ok bool, engine clock.Milli) { req.attemptEnded(wrk, ok, engine) }
 	switch {
 	case wrk.prefix != 0:
-		rnn.tln.after(max(stallTimeout, slowFactor*req.ins.firstToken.Upper(stallTimeout/4, req.now())), func() { req.cancelIfStalled(wrk) })
+		rnn.tln.after(max(stallTimeout, timeoutFactor*req.ins.firstToken.Upper(stallTimeout/4, req.now())), func() { req.cancelIfStalled(wrk) })
 	case req.attempts < req.bounds().Attempts():
-		allow := max(minSlowDelay, slowFactor*req.estimator().Upper(req.initialEstimate(), req.now()))
+		allow := max(minAttemptTimeout, timeoutFactor*req.estimator().Upper(req.initialEstimate(), req.now()))
 		rnn.tln.after(allow, func() { req.cancelIfSlow(wrk) })
 	}
 	for _, srv := range rnn.pools[req.pool()] {
--- a/internal/trial/run.go
+++ b/internal/trial/run.go
@@ -9,13 +9,13 @@
 	"amaranthvalve/pkg/route"
 )
 
-// Constants of the simulation. slowFactor, minSlowDelay and stallTimeout must equal timeoutFactor,
-// minAttemptTimeout and stallTimeout of internal/stage.
+// Constants of the simulation. timeoutFactor, minAttemptTimeout and stallTimeout must equal those of
+// internal/stage.
 const (
-	// slowFactor is the multiple of the upper bound of a stage's time after which an attempt is
-	// retried elsewhere, at the earliest after minSlowDelay.
-	slowFactor   = 4
-	minSlowDelay = 250 * clock.Milli(1)
+	// timeoutFactor is the multiple of the upper bound of a stage's time after which an attempt is
+	// retried elsewhere, at the earliest after minAttemptTimeout.
+	timeoutFactor     = 4
+	minAttemptTimeout = 250 * clock.Milli(1)
 	// tickInterval is the interval at which gates are updated.
 	tickInterval = 50 * clock.Milli(1)
 	// prefixCount is the number of different prompts.
